--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -10,48 +10,50 @@
 	"masticturn/internal/platform"
 )
 
-// retryPause is the pause between calls during an outage, over all kinds.
-const retryPause = 200 * time.Millisecond
+// outageRetryInterval is the interval between store calls during an outage, shared by all kinds.
+const outageRetryInterval = 200 * time.Millisecond
 
-// outageBackoff spaces the calls of all kinds during an outage of the store.
+// outageBackoff limits the rate of store calls during an outage of the store. One instance is
+// shared by the watchers of all kinds.
 type outageBackoff struct {
 	mu   sync.Mutex
 	down bool
-	next time.Time // earliest next call during an outage
+	next time.Time // earliest start of the next call during an outage
 }
 
-// call makes one call, after a pause during an outage.
-func (g *outageBackoff) call(ctx context.Context, clock kernel.Clock, read func(context.Context) error) error {
-	// A timer of zero would stall tests in fake time.
-	if pause := g.pause(clock.Now()); pause > 0 {
+// call makes one store call. During an outage it first waits for its turn.
+func (b *outageBackoff) call(ctx context.Context, clock kernel.Clock, read func(context.Context) error) error {
+	// No timer if there is no wait: a zero timer would stall tests that run in fake time.
+	if pause := b.reserve(clock.Now()); pause > 0 {
 		sleep(ctx, pause)
 	}
 	err := read(ctx)
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if ctx.Err() == nil {
-		g.down = err != nil && !errors.Is(err, platform.ErrCompacted)
+		b.down = err != nil && !errors.Is(err, platform.ErrCompacted)
 	}
 	return err
 }
 
-// due reports whether a call may begin without a pause.
-func (g *outageBackoff) due(now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return !g.down || !now.Before(g.next)
+// due reports whether a call may start now without waiting.
+func (b *outageBackoff) due(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return !b.down || !now.Before(b.next)
 }
 
-// pause returns the time until the next call may begin; 0 without an outage.
-func (g *outageBackoff) pause(now time.Time) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.down {
+// reserve reserves the next call and returns the time to wait until it may start. It is 0 if
+// there is no outage.
+func (b *outageBackoff) reserve(now time.Time) time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.down {
 		return 0
 	}
-	if g.next.Before(now) {
-		g.next = now
+	if b.next.Before(now) {
+		b.next = now
 	}
-	g.next = g.next.Add(retryPause)
-	return g.next.Sub(now)
+	b.next = b.next.Add(outageRetryInterval)
+	return b.next.Sub(now)
 }
--- a/internal/discovery/calls_test.go
+++ b/internal/discovery/calls_test.go
@@ -12,13 +12,14 @@
 	"masticturn/internal/platform"
 )
 
-// fleetSizes are the compared fleets.
+// fleetSizes are the sizes for which the number of calls is compared.
 var fleetSizes = []int{30, 195}
 
-// storeReaders bounds the VMs of a fleet in three regions that read the store in an outage.
-const storeReaders = 3*readers + fallbackReadRate
+// maxStoreReaders is the number of readers in three regions plus the reads per second of all other
+// VMs, during an outage.
+const maxStoreReaders = 3*readersPerRegion + fallbackReadRate
 
-// Calls to the store during an outage must not grow with the fleet.
+// The number of store calls during an outage must not grow with the fleet.
 func TestCallsOfAnOutageDoNotGrowWithTheFleet(t *testing.T) {
 	const outage = 8 * time.Second
 	for _, size := range fleetSizes {
@@ -26,64 +27,65 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, size)
 				time.Sleep(5 * time.Second)
-				for _, r := range f.reach {
-					r.refused.Store(true)
+				for _, a := range f.access {
+					a.refused.Store(true)
 				}
 				before := f.calls()
 				time.Sleep(outage)
 				calls := f.calls() - before
-				most := int64(storeReaders * outage / retryPause)
-				if calls > most {
-					t.Errorf("%d calls in %v, want at most %d", calls, outage, most)
+				maxCalls := int64(maxStoreReaders * outage / outageRetryInterval)
+				if calls > maxCalls {
+					t.Errorf("%d calls in %v, want at most %d", calls, outage, maxCalls)
 				}
 				t.Logf("%d calls", calls)
-				for _, r := range f.reach {
-					r.refused.Store(false)
+				for _, a := range f.access {
+					a.refused.Store(false)
 				}
-				f.change()
-				f.wantEverywhere("after the outage")
+				f.writeDocument()
+				f.wantDocumentEverywhere("after the outage")
 			})
 		})
 	}
 }
 
-// Calls of a start must not grow with the fleet: starting VMs bootstrap from peers.
+// The number of store calls at a start must not grow with the fleet: starting VMs bootstrap from
+// peers.
 func TestCallsOfAStartDoNotGrowWithTheFleet(t *testing.T) {
 	for _, size := range fleetSizes {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleet(t, size) // waits for inForceBound
+				f := newFleet(t, size) // returns after inForceBound
 				kinds := int64(len(f.vms["vm-000"].mirrors))
-				watching := int64(inForceBound/f.store.WatchTimeout) + 1
-				if calls, most := f.calls(), watchers*kinds*(1+watching); calls > most {
+				watches := int64(inForceBound/f.store.WatchTimeout) + 1
+				if calls, most := f.calls(), watcherCount*kinds*(1+watches); calls > most {
 					t.Errorf("%d calls at the start, want at most %d", calls, most)
 				}
 				last := f.view.Members[size-1].Name
-				before := f.reach[last].calls.Load()
+				before := f.access[last].calls.Load()
 				f.restart(last)
 				time.Sleep(time.Second)
 				synctest.Wait()
 				if v := f.vms[last].View(); v == nil || v.Snapshot.Generation != f.gen {
-					t.Error("the VM that started again knows no document after a second")
+					t.Error("the restarted VM has no document after a second")
 				}
-				if calls := f.reach[last].calls.Load() - before; calls != 0 {
-					t.Errorf("%d calls of a VM that started again, want none", calls)
+				if calls := f.access[last].calls.Load() - before; calls != 0 {
+					t.Errorf("%d calls of a restarted VM, want none", calls)
 				}
 			})
 		})
 	}
 }
 
-// A VM that starts without peers reads the store.
-func TestStartWithoutOthers(t *testing.T) {
+// A VM that can't reach any peer at its start reads the store.
+func TestStartWithoutPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 10)
 		for _, m := range f.view.Members[1:] {
 			f.hub.Remove(m.Name)
 		}
 		f.restart("vm-000")
-		f.change()
-		time.Sleep(restartWait + time.Second)
+		f.writeDocument()
+		time.Sleep(restartBootstrapTimeout + time.Second)
 		synctest.Wait()
 		if v := f.vms["vm-000"].View(); v == nil || v.Snapshot.Generation != f.gen {
 			t.Error("no document")
@@ -91,29 +93,29 @@
 	})
 }
 
-// VMs of a restarted fleet do not wait for peers without state.
-func TestFleetThatStartsAgainReadsAtOnce(t *testing.T) {
+// VMs of a restarted fleet must not wait for peers that have no state either.
+func TestRestartedFleetReadsStoreAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30)
 		time.Sleep(5 * time.Second)
 		for _, s := range f.vms {
 			_ = s.Stop(context.Background())
 		}
-		f.change()
+		f.writeDocument()
 		for _, m := range f.view.Members {
-			f.startAgain(m.Name)
+			f.startStopped(m.Name)
 		}
-		time.Sleep(restartWait / 2)
+		time.Sleep(restartBootstrapTimeout / 2)
 		synctest.Wait()
 		for name, s := range f.vms {
 			if v := s.View(); v == nil || v.Snapshot.Generation != f.gen {
-				t.Errorf("%s has no document after %v", name, restartWait/2)
+				t.Errorf("%s has no document after %v", name, restartBootstrapTimeout/2)
 			}
 		}
 	})
 }
 
-// Packing is lossless, and unpacking bounded.
+// Packing is lossless. Unpacking rejects truncated and too large input.
 func TestPackedLists(t *testing.T) {
 	objects := []platform.Object{
 		{Kind: "k", Name: "a", Version: 7, Value: []byte(`{"x":1}`), Status: []byte(`{}`)},
@@ -128,19 +130,19 @@
 		t.Errorf("unpacked %+v, %v", got, err)
 	}
 	if _, err := unpackObjects(packed[:len(packed)/2]); err == nil {
-		t.Error("half of a list is taken for a list")
+		t.Error("a truncated list was unpacked")
 	}
 	large, err := packObjects([]platform.Object{{Value: make([]byte, maxUnpackedBytes)}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := unpackObjects(large); err == nil {
-		t.Error("a list beyond the bound is unpacked")
+		t.Error("a list larger than the limit was unpacked")
 	}
 }
 
-// Some VMs per region have an entry; without seeds, all.
-func TestWhoIsRegistered(t *testing.T) {
+// With seeds, only some VMs per region write an entry; VMs that have not joined always do.
+func TestRegisteredVMs(t *testing.T) {
 	const perRegion = 65
 	view := &membership.View{}
 	for i := range 3 * perRegion {
@@ -156,21 +158,22 @@
 			r := NewRegistrar(RegistrarDeps{
 				Seeded: true, Joined: func() bool { return joined }, Members: fixedMembers{&own},
 			})
-			if r.needed() {
+			if r.isNeeded() {
 				n++
 			}
 		}
 		return n
 	}
-	if got, want := count(true), 3*registered; got != want {
+	if got, want := count(true), 3*entriesPerRegion; got != want {
 		t.Errorf("%d VMs are registered, want %d", got, want)
 	}
 	if got, want := count(false), len(view.Members); got != want {
-		t.Errorf("%d VMs that no other answers are registered, want %d", got, want)
+		t.Errorf("%d VMs that have not joined are registered, want %d", got, want)
 	}
 }
 
-// Entries that lapse in an outage are kept until they may be written again, at all VMs.
+// Targets whose entries expire in an outage of the store stay known to all VMs until the entries
+// can be written again.
 func TestTargetsSurviveAnOutage(t *testing.T) {
 	const targets = 10
 	synctest.Test(t, func(t *testing.T) {
@@ -184,8 +187,8 @@
 			f.store.Put("targets", name, value)
 		}
 		time.Sleep(f.bound)
-		for _, r := range f.reach {
-			r.refused.Store(true)
+		for _, a := range f.access {
+			a.refused.Store(true)
 		}
 		time.Sleep(5 * time.Second)
 		for i := range targets {
@@ -193,8 +196,8 @@
 			f.store.Remove("targets", name)
 		}
 		time.Sleep(time.Second)
-		for _, r := range f.reach {
-			r.refused.Store(false)
+		for _, a := range f.access {
+			a.refused.Store(false)
 		}
 		time.Sleep(time.Second)
 		f.wantTargets("a second after the outage", targets)
@@ -203,23 +206,23 @@
 			f.store.Put("targets", name, value)
 		}
 		time.Sleep(f.bound)
-		f.wantTargets("when they are back", targets)
+		f.wantTargets("after the entries were written again", targets)
 	})
 }
 
-// wantTargets checks the size of each VM's catalog.
+// wantTargets checks the number of targets in the view of each VM.
 func (f *fleet) wantTargets(when string, want int) {
 	f.t.Helper()
 	synctest.Wait()
 	for name, s := range f.vms {
 		if got := len(s.View().Snapshot.Services()[0].AllTargets); got != want {
-			f.t.Errorf("%s: %s believes in %d targets, want %d", when, name, got, want)
+			f.t.Errorf("%s: %s has %d targets, want %d", when, name, got, want)
 		}
 	}
 }
 
-// Targets that do not return after an outage are dropped at all VMs.
-func TestTargetsThatDoNotComeBack(t *testing.T) {
+// Targets whose entries are not written again after an outage are dropped at all VMs.
+func TestMissingTargetsAreDroppedAfterGrace(t *testing.T) {
 	const targets = 10
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 30)
@@ -228,26 +231,27 @@
 			f.store.Put("targets", name(i), encode(t, Target{Instance: name(i), Service: "svc", Zone: "z1", Slots: 1, Address: "10.0.0.1:80"}))
 		}
 		time.Sleep(f.bound)
-		for _, r := range f.reach {
-			r.refused.Store(true)
+		for _, a := range f.access {
+			a.refused.Store(true)
 		}
 		time.Sleep(5 * time.Second)
 		for i := range targets {
 			f.store.Remove("targets", name(i))
 		}
-		for _, r := range f.reach {
-			r.refused.Store(false)
+		for _, a := range f.access {
+			a.refused.Store(false)
 		}
 		time.Sleep(time.Second)
 		f.wantTargets("a second after the outage", targets)
 		time.Sleep(rejoinGrace + expireInterval + time.Second)
-		f.wantTargets("when the grace is over", 0)
+		f.wantTargets("after the grace period", 0)
 	})
 }
 
-// Changes arrive although the store refuses all readers of a region and serves others.
+// Changes reach all VMs although the store refuses the readers of each region and some of the other
+// VMs.
 func TestChangesArriveWhenReadersAreRefused(t *testing.T) {
-	const others = 0.35 // of the other VMs are turned away too
+	const refusedFraction = 0.35 // of the VMs that are not readers
 	for size, bound := range map[int]time.Duration{10: 2 * time.Second, 195: 4 * time.Second} {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%d VMs/%d", size, seed), func(t *testing.T) {
@@ -256,19 +260,19 @@
 					time.Sleep(5*time.Second + time.Duration(seed)*300*time.Millisecond)
 					random := rand.New(rand.NewPCG(seed, 1))
 					var refused []string
-					for _, members := range byRegion(f.view) {
+					for _, members := range liveByRegion(f.view) {
 						for i, m := range members {
-							if i < min(readers, len(members)-1) || i > readers && random.Float64() < others {
-								f.reach[m.Name].refused.Store(true)
+							if i < min(readersPerRegion, len(members)-1) || i > readersPerRegion && random.Float64() < refusedFraction {
+								f.access[m.Name].refused.Store(true)
 								refused = append(refused, m.Name)
 							}
 						}
 					}
 					time.Sleep(300 * time.Millisecond)
-					f.change()
-					f.wantEverywhere("readers are turned away", refused...)
+					f.writeDocument()
+					f.wantDocumentEverywhere("readers are refused", refused...)
 					time.Sleep(time.Second)
-					f.wantEverywhere("those that are turned away, a second and another bound later")
+					f.wantDocumentEverywhere("refused VMs, a second and another bound later")
 				})
 			})
 		}
--- a/internal/discovery/catalog.go
+++ b/internal/discovery/catalog.go
@@ -9,125 +9,125 @@
 	"masticturn/internal/platform"
 )
 
-// rejoinGrace is how long targets without an entry are kept after an outage of the store.
-// Live targets write lapsed entries again within about two seconds.
+// rejoinGrace is how long targets without an entry are kept after an outage of the store. Live
+// targets write expired entries again within about two seconds.
 const rejoinGrace = 2200 * time.Millisecond
 
-// catalog is the document, targets and evacuated zones known to this VM, built from
-// mirrors. It does no I/O and is not safe for concurrent use.
+// catalog holds the document, the targets and the evacuated zones known to this VM. It is built
+// from mirrors, does no I/O and is not safe for concurrent use.
 type catalog struct {
-	decoder   Decoder
-	places    map[string]string
-	document  *config.Document
-	customers *customer.Directory
-	gen       config.Generation
+	decoder      Decoder
+	regionByZone map[string]string
+	document     *config.Document
+	customers    *customer.Directory
+	gen          config.Generation
 
-	documentRead platform.Version // last one read
+	documentVersion platform.Version // version of the last object read, valid or not
 
-	targets  map[string]*catalogEntry    // by id
-	read     map[string]platform.Version // by id; version of the entry
-	starts   map[string]int64            // by id; the latest one, also of targets without an entry
-	zones    map[string]bool
-	listed   map[platform.Kind]bool // kinds with a complete list
-	regained time.Time              // end of the last outage
+	targets       map[string]*catalogEntry    // by id
+	entryVersions map[string]platform.Version // by id; version of the entry last read
+	latestStarts  map[string]int64            // by id; latest known start, kept after the entry is deleted
+	evacuated     map[string]bool
+	listed        map[platform.Kind]bool // kinds of which a complete list was received
+	outageEnd     time.Time              // end of the last outage
 }
 
-func newCatalog(d Decoder, places map[string]string) *catalog {
+func newCatalog(d Decoder, regionByZone map[string]string) *catalog {
 	return &catalog{
-		decoder: d,
-		places:  places,
-		targets: make(map[string]*catalogEntry),
-		read:    make(map[string]platform.Version),
-		starts:  make(map[string]int64),
-		zones:   make(map[string]bool),
-		listed:  make(map[platform.Kind]bool),
+		decoder:       d,
+		regionByZone:  regionByZone,
+		targets:       make(map[string]*catalogEntry),
+		entryVersions: make(map[string]platform.Version),
+		latestStarts:  make(map[string]int64),
+		evacuated:     make(map[string]bool),
+		listed:        make(map[platform.Kind]bool),
 	}
 }
 
-// setDocument applies the document's object. It reports whether a newer document is in
-// force; on an error the present one stays.
+// setDocument applies the stored document. It reports whether a newer document is now in force.
+// On an error the current document stays in force.
 func (c *catalog) setDocument(m *Mirror) (bool, error) {
 	o, ok := m.Get(c.decoder.Kinds().DocumentName)
-	if !ok || o.Version == c.documentRead {
+	if !ok || o.Version == c.documentVersion {
 		return false, nil
 	}
-	c.documentRead = o.Version
-	read, err := c.decoder.Document(o)
-	if err != nil || read.Generation <= c.gen {
+	c.documentVersion = o.Version
+	content, err := c.decoder.Document(o)
+	if err != nil || content.Generation <= c.gen {
 		return false, err
 	}
-	c.document, c.customers, c.gen = read.Document, read.Customers, read.Generation
+	c.document, c.customers, c.gen = content.Document, content.Customers, content.Generation
 	return true, nil
 }
 
-// returnHold is how long targets of a zone that is no longer evacuated count as cold at
-// least, as their own entries may arrive later.
-const returnHold = time.Second
+// zoneReturnColdTime is the minimum time for which targets count as cold after the evacuation of
+// their zone ends. Their own entries that report a cold start may arrive later.
+const zoneReturnColdTime = time.Second
 
-// setZones applies the evacuated availability zones and returns unknown ones. The content
-// of an object is not read: its existence evacuates the zone.
+// setZones applies the evacuated availability zones and returns the names of unknown ones. The
+// existence of an object evacuates its zone; the content is ignored.
 func (c *catalog) setZones(m *Mirror, now time.Time) (unknown []string) {
-	before := c.zones
-	c.zones = make(map[string]bool)
+	before := c.evacuated
+	c.evacuated = make(map[string]bool)
 	for _, o := range m.Objects() {
-		if c.places[o.Name] == "" {
+		if c.regionByZone[o.Name] == "" {
 			unknown = append(unknown, o.Name)
 			continue
 		}
-		c.zones[o.Name] = true
+		c.evacuated[o.Name] = true
 	}
-	for _, k := range c.targets {
-		if before[k.Zone] && !c.zones[k.Zone] {
-			k.markCold(now.Add(returnHold))
+	for _, e := range c.targets {
+		if before[e.Zone] && !c.evacuated[e.Zone] {
+			e.markCold(now.Add(zoneReturnColdTime))
 		}
 	}
 	return unknown
 }
 
-// markCold makes a target count as cold at least until a time.
-func (k *catalogEntry) markCold(until time.Time) {
-	if until.After(k.coldUntil) {
-		k.coldUntil = until
+// markCold makes the target count as cold until the given time or later.
+func (e *catalogEntry) markCold(until time.Time) {
+	if until.After(e.coldUntil) {
+		e.coldUntil = until
 	}
 }
 
-// entryFault is an invalid entry.
-type entryFault struct {
+// invalidEntry is the name of a target's entry that was rejected, with the reason.
+type invalidEntry struct {
 	name string
 	err  error
 }
 
-// setTargets applies the targets' entries and returns the faults of those read now. An
-// invalid entry makes its target unusable; the others hold.
-func (c *catalog) setTargets(m *Mirror, now time.Time) []entryFault {
-	var faults []entryFault
+// setTargets applies the changed entries of targets and returns the invalid ones among them. An
+// invalid entry makes its target unusable and does not affect other targets.
+func (c *catalog) setTargets(m *Mirror, now time.Time) []invalidEntry {
+	var invalid []invalidEntry
 	seen := make(map[string]bool)
 	for _, o := range m.Objects() {
 		seen[o.Name] = true
-		if version, ok := c.read[o.Name]; ok && version == o.Version {
+		if version, ok := c.entryVersions[o.Name]; ok && version == o.Version {
 			continue
 		}
-		c.read[o.Name] = o.Version
+		c.entryVersions[o.Name] = o.Version
 		if err := c.readTarget(o, now); err != nil {
-			faults = append(faults, entryFault{o.Name, err})
+			invalid = append(invalid, invalidEntry{o.Name, err})
 		}
 	}
-	maps.DeleteFunc(c.read, func(name string, _ platform.Version) bool { return !seen[name] })
-	c.markMissing(seen, now)
-	return faults
+	maps.DeleteFunc(c.entryVersions, func(name string, _ platform.Version) bool { return !seen[name] })
+	c.reconcileMissing(seen, now)
+	return invalid
 }
 
-// readTarget applies a changed entry.
+// readTarget decodes, validates and applies a changed entry.
 func (c *catalog) readTarget(o platform.Object, now time.Time) error {
 	t, err := c.decoder.Target(o)
 	if err == nil {
-		err = t.check(c.places)
+		err = t.validate(c.regionByZone)
 	}
-	if err == nil && t.Born == 0 && c.starts[o.Name] != 0 {
-		err = &FieldError{"start", "none", "the time of a start, as an earlier entry of the id has one"}
+	if err == nil && t.Born == 0 && c.latestStarts[o.Name] != 0 {
+		err = &FieldError{"start", "none", "a start time, because an earlier entry of this instance had one"}
 	}
-	if k := c.targets[o.Name]; k != nil {
-		k.unreadable = err != nil
+	if e := c.targets[o.Name]; e != nil {
+		e.invalid = err != nil
 	}
 	if err != nil {
 		return err
@@ -136,50 +136,51 @@
 	return nil
 }
 
-// lateReports is how long a report may be overtaken by a later one, as the store may apply
-// a write seconds after its answer was lost.
-const lateReports = 10 * time.Second
+// reportReorderWindow is how long reports with a lower sequence number are ignored after a later
+// one. The store may apply a write seconds after its answer was lost, out of order.
+const reportReorderWindow = 10 * time.Second
 
-// setTarget applies an entry. Cold time counts from its arrival. A new start is cold for the
-// service's cold time, as its entry may state less. Older starts, and older reports of the
-// same start, are ignored.
+// setTarget applies an entry. Older starts, and older reports of the same start, are ignored. The
+// cold time counts from the arrival of the entry. A target that starts while this VM watches is
+// cold for at least the service's cold time, as its entry may state less.
 func (c *catalog) setTarget(t Target, now time.Time) {
-	if t.Born < c.starts[t.Instance] {
+	if t.Born < c.latestStarts[t.Instance] {
 		return
 	}
 	c.recordStart(&t)
-	k := c.targets[t.Instance]
-	if k != nil && k.Born == t.Born && t.Born != 0 && t.Sequence < k.Sequence && now.Sub(k.reported) <= lateReports {
-		k.vanished = time.Time{}
+	e := c.targets[t.Instance]
+	if e != nil && e.Born == t.Born && t.Born != 0 && t.Sequence < e.Sequence && now.Sub(e.reportedAt) <= reportReorderWindow {
+		e.missingSince = time.Time{}
 		return
 	}
-	if k == nil || k.Born != t.Born {
-		k = &catalogEntry{}
-		c.targets[t.Instance] = k
+	if e == nil || e.Born != t.Born {
+		e = &catalogEntry{}
+		c.targets[t.Instance] = e
 		if c.listed[c.decoder.Kinds().Targets] {
-			k.markCold(now.Add(c.coldTime(t.Service)))
+			e.markCold(now.Add(c.coldTime(t.Service)))
 		}
 	}
 	if t.Cold > 0 {
-		k.markCold(now.Add(t.Cold))
+		e.markCold(now.Add(t.Cold))
 	}
-	k.Target = t
-	k.reported = now
-	k.vanished = time.Time{}
+	e.Target = t
+	e.reportedAt = now
+	e.missingSince = time.Time{}
 }
 
-// maxStarts bounds the recorded starts of targets without an entry.
+// maxStarts is the number of recorded starts at which those of targets without an entry are
+// deleted.
 const maxStarts = 8192
 
-// recordStart records an instance's latest start.
+// recordStart records the latest start of an instance.
 func (c *catalog) recordStart(t *Target) {
 	if t.Born == 0 {
 		return
 	}
-	if len(c.starts) >= maxStarts {
-		maps.DeleteFunc(c.starts, func(id string, _ int64) bool { return c.targets[id] == nil })
+	if len(c.latestStarts) >= maxStarts {
+		maps.DeleteFunc(c.latestStarts, func(id string, _ int64) bool { return c.targets[id] == nil })
 	}
-	c.starts[t.Instance] = t.Born
+	c.latestStarts[t.Instance] = t.Born
 }
 
 func (c *catalog) coldTime(service string) time.Duration {
@@ -194,47 +195,47 @@
 	return 0
 }
 
-// lapsedShare is the share of all targets that must miss at once for their entries to count
-// as lapsed in an outage of the store. Fewer missing ones are gone.
-const lapsedShare = 0.3
+// minExpiredFraction is the fraction of all targets that must be missing at once after an outage of
+// the store for their entries to count as expired in it. If fewer are missing, they are dropped.
+const minExpiredFraction = 0.3
 
-// markMissing drops targets without an entry, or keeps them for rejoinGrace if the entries
-// lapsed in an outage.
-func (c *catalog) markMissing(seen map[string]bool, now time.Time) {
+// reconcileMissing drops targets without an entry. If their entries expired in an outage of the
+// store, it keeps those that are not leaving for rejoinGrace.
+func (c *catalog) reconcileMissing(seen map[string]bool, now time.Time) {
 	var missing []string
 	for name := range c.targets {
 		if !seen[name] {
 			missing = append(missing, name)
 		}
 	}
-	lapsed := now.Sub(c.regained) <= rejoinGrace && float64(len(missing)) >= lapsedShare*float64(len(c.targets))
+	expired := now.Sub(c.outageEnd) <= rejoinGrace && float64(len(missing)) >= minExpiredFraction*float64(len(c.targets))
 	for _, name := range missing {
-		k := c.targets[name]
-		if !lapsed || k.Leaving {
+		e := c.targets[name]
+		if !expired || e.Leaving {
 			delete(c.targets, name)
 			continue
 		}
-		if k.vanished.IsZero() {
-			k.vanished = now
+		if e.missingSince.IsZero() {
+			e.missingSince = now
 		}
 	}
 }
 
-// missing reports whether targets without an entry are kept.
-func (c *catalog) missing() bool {
-	for _, k := range c.targets {
-		if !k.vanished.IsZero() {
+// hasMissing reports whether the catalog holds targets without an entry.
+func (c *catalog) hasMissing() bool {
+	for _, e := range c.targets {
+		if !e.missingSince.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// expire drops missing targets after rejoinGrace. It reports whether there were any.
-func (c *catalog) expire(now time.Time) bool {
+// expireMissing drops missing targets once rejoinGrace is over. It reports whether it dropped any.
+func (c *catalog) expireMissing(now time.Time) bool {
 	dropped := false
-	for name, k := range c.targets {
-		if !k.vanished.IsZero() && now.Sub(c.regained) > rejoinGrace {
+	for name, e := range c.targets {
+		if !e.missingSince.IsZero() && now.Sub(c.outageEnd) > rejoinGrace {
 			delete(c.targets, name)
 			dropped = true
 		}
@@ -242,8 +243,8 @@
 	return dropped
 }
 
-// view returns the catalog with this VM's shares; nil until all kinds have been listed. Before
-// that a VM could send to an evacuated zone.
+// view returns a view of the catalog with this VM's shares. It is nil until a complete list of
+// each kind was received, as a VM could otherwise send requests to an evacuated zone.
 func (c *catalog) view(shares func() (config.Fleet, config.Retry)) *View {
 	kinds := c.decoder.Kinds()
 	if c.document == nil || !c.listed[kinds.Targets] || !c.listed[kinds.Evacuations] {
@@ -252,27 +253,27 @@
 	doc := *c.document
 	doc.Fleet, doc.Retry = shares()
 	config.SetDefaults(&doc)
-	v := assemble(&doc, c.gen, c.places, c.targets, c.zones)
+	v := buildView(&doc, c.gen, c.regionByZone, c.targets, c.evacuated)
 	v.Snapshot.Customers = c.customers
 	return v
 }
 
-// states returns each target's state, for logs.
+// states describes the state of each target for the log, by target name.
 func (c *catalog) states() map[string]string {
 	out := make(map[string]string, len(c.targets))
-	for _, k := range c.targets {
+	for _, e := range c.targets {
 		state := "ready"
 		switch {
-		case k.unreadable:
+		case e.invalid:
 			state = "unreadable"
-		case k.Leaving:
+		case e.Leaving:
 			state = "leaving"
-		case !k.vanished.IsZero():
+		case !e.missingSince.IsZero():
 			state = "missing"
-		case !k.coldUntil.IsZero():
-			state = "cold for " + k.Cold.String()
+		case !e.coldUntil.IsZero():
+			state = "cold for " + e.Cold.String()
 		}
-		out[k.Name()] = k.Service + " at " + k.Address + " in " + k.Zone + " " + state
+		out[e.Name()] = e.Service + " at " + e.Address + " in " + e.Zone + " " + state
 	}
 	return out
 }
--- a/internal/discovery/catalog_test.go
+++ b/internal/discovery/catalog_test.go
@@ -9,7 +9,7 @@
 	"masticturn/internal/platform"
 )
 
-// jsonDecoder decodes the documents and targets of tests.
+// jsonDecoder decodes documents and targets from JSON.
 type jsonDecoder struct{}
 
 type testDocument struct {
@@ -50,10 +50,10 @@
 	return raw
 }
 
-// world is a catalog with its mirrors.
-type world struct {
+// catalogFixture is a catalog with its mirrors and a fake clock.
+type catalogFixture struct {
 	t       *testing.T
-	b       *catalog
+	catalog *catalog
 	docs    *Mirror
 	zones   *Mirror
 	targets *Mirror
@@ -63,37 +63,37 @@
 
 const testCold = 3 * time.Second
 
-func newWorld(t *testing.T, targets ...string) *world {
-	w := &world{
-		t: t, b: newCatalog(jsonDecoder{}, map[string]string{"z1": "r1", "z2": "r2"}),
+func newCatalogFixture(t *testing.T, targets ...string) *catalogFixture {
+	f := &catalogFixture{
+		t: t, catalog: newCatalog(jsonDecoder{}, map[string]string{"z1": "r1", "z2": "r2"}),
 		docs: NewMirror(platform.MaxValueBytes), zones: NewMirror(maxEntryBytes), targets: NewMirror(maxEntryBytes), now: time.Unix(1000, 0),
 	}
-	w.document(1)
+	f.document(1)
 	var list []platform.Object
 	for _, name := range targets {
-		list = append(list, w.entry(name, Target{}))
+		list = append(list, f.entry(name, Target{}))
 	}
-	w.targets.Replace(list, w.version)
-	w.b.setTargets(w.targets, w.now)
+	f.targets.Replace(list, f.version)
+	f.catalog.setTargets(f.targets, f.now)
 	for _, kind := range []platform.Kind{"doc", "zones", "targets"} {
-		w.b.listed[kind] = true
+		f.catalog.listed[kind] = true
 	}
-	return w
+	return f
 }
 
-func (w *world) document(gen config.Generation) bool {
-	w.version++
-	value := encode(w.t, testDocument{Generation: gen, ColdMS: config.Millis(testCold.Milliseconds())})
-	w.docs.Apply([]platform.Event{{Object: platform.Object{Name: "main", Version: w.version, Value: value}}}, w.version)
-	adopted, err := w.b.setDocument(w.docs)
+func (f *catalogFixture) document(gen config.Generation) bool {
+	f.version++
+	value := encode(f.t, testDocument{Generation: gen, ColdMS: config.Millis(testCold.Milliseconds())})
+	f.docs.Apply([]platform.Event{{Object: platform.Object{Name: "main", Version: f.version, Value: value}}}, f.version)
+	adopted, err := f.catalog.setDocument(f.docs)
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return adopted
 }
 
-func (w *world) entry(name string, target Target) platform.Object {
-	w.version++
+func (f *catalogFixture) entry(name string, target Target) platform.Object {
+	f.version++
 	target.Instance, target.Service = name, "svc"
 	if target.Zone == "" {
 		target.Zone = "z1"
@@ -102,112 +102,114 @@
 		target.Slots = 1
 	}
 	target.Address = "10.0.0.1:80"
-	return platform.Object{Name: name, Version: w.version, Value: encode(w.t, target)}
+	return platform.Object{Name: name, Version: f.version, Value: encode(f.t, target)}
 }
 
-func (w *world) report(name string, target Target) {
-	w.targets.Apply([]platform.Event{{Object: w.entry(name, target)}}, w.version)
-	w.b.setTargets(w.targets, w.now)
+func (f *catalogFixture) report(name string, target Target) {
+	f.targets.Apply([]platform.Event{{Object: f.entry(name, target)}}, f.version)
+	f.catalog.setTargets(f.targets, f.now)
 }
 
-func (w *world) remove(names ...string) {
-	w.version++
+func (f *catalogFixture) remove(names ...string) {
+	f.version++
 	var events []platform.Event
 	for _, name := range names {
-		events = append(events, deletion(name, w.version))
+		events = append(events, deletion(name, f.version))
 	}
-	w.targets.Apply(events, w.version)
-	w.b.setTargets(w.targets, w.now)
+	f.targets.Apply(events, f.version)
+	f.catalog.setTargets(f.targets, f.now)
 }
 
-func (w *world) evacuate(zones ...string) {
-	w.version++
+func (f *catalogFixture) evacuate(zones ...string) {
+	f.version++
 	var list []platform.Object
 	for _, z := range zones {
-		list = append(list, object(z, w.version))
+		list = append(list, object(z, f.version))
 	}
-	w.zones.Replace(list, w.version)
-	w.b.setZones(w.zones, w.now)
+	f.zones.Replace(list, f.version)
+	f.catalog.setZones(f.zones, f.now)
 }
 
-func (w *world) cold(name string) bool { return w.now.Before(w.b.targets[name].coldUntil) }
+func (f *catalogFixture) cold(name string) bool {
+	return f.now.Before(f.catalog.targets[name].coldUntil)
+}
 
 func TestDocumentNeverReverts(t *testing.T) {
-	w := newWorld(t)
-	if !w.document(7) || w.document(6) || w.document(7) {
-		t.Error("only a document of a higher generation may be adopted")
+	f := newCatalogFixture(t)
+	if !f.document(7) || f.document(6) || f.document(7) {
+		t.Error("only a document of a higher generation may take effect")
 	}
-	if w.b.view(noShares).Snapshot.Generation != 7 {
-		t.Errorf("generation %d is in force", w.b.view(noShares).Snapshot.Generation)
+	if f.catalog.view(noShares).Snapshot.Generation != 7 {
+		t.Errorf("generation %d is in force", f.catalog.view(noShares).Snapshot.Generation)
 	}
 }
 
-// A starting VM serves nobody before it knows the evacuated zones.
+// A starting VM must not publish a view before it knows all targets and evacuated zones.
 func TestNoViewBeforeAllKindsAreListed(t *testing.T) {
 	for _, kind := range []platform.Kind{"zones", "targets"} {
-		w := newWorld(t, "a")
-		delete(w.b.listed, kind)
-		if w.b.view(noShares) != nil {
-			t.Errorf("there is a view without a list of %s", kind)
+		f := newCatalogFixture(t, "a")
+		delete(f.catalog.listed, kind)
+		if f.catalog.view(noShares) != nil {
+			t.Errorf("got a view without a list of %s", kind)
 		}
 	}
 }
 
 func TestUnreadableDocumentLeavesTheOneInForce(t *testing.T) {
-	w := newWorld(t)
-	w.version++
-	w.docs.Apply([]platform.Event{{Object: platform.Object{Name: "main", Version: w.version, Value: []byte("{")}}}, w.version)
-	if adopted, err := w.b.setDocument(w.docs); adopted || err == nil {
+	f := newCatalogFixture(t)
+	f.version++
+	f.docs.Apply([]platform.Event{{Object: platform.Object{Name: "main", Version: f.version, Value: []byte("{")}}}, f.version)
+	if adopted, err := f.catalog.setDocument(f.docs); adopted || err == nil {
 		t.Errorf("adopted %v, error %v", adopted, err)
 	}
-	if w.b.view(noShares).Snapshot.Generation != 1 {
-		t.Error("the document in force is lost")
+	if f.catalog.view(noShares).Snapshot.Generation != 1 {
+		t.Error("the previous document is no longer in force")
 	}
 }
 
 func TestColdTargets(t *testing.T) {
-	w := newWorld(t, "old")
-	if w.cold("old") {
-		t.Error("a target that was there at the start of this VM is not known to be cold")
+	f := newCatalogFixture(t, "old")
+	if f.cold("old") {
+		t.Error("a target that was listed when this VM started must not be cold")
 	}
-	w.report("new", Target{})
-	if !w.cold("new") {
-		t.Error("a target that comes while this VM watches is cold")
+	f.report("new", Target{})
+	if !f.cold("new") {
+		t.Error("a target that starts while this VM watches must be cold")
 	}
-	w.now = w.now.Add(testCold)
-	if w.cold("new") {
-		t.Error("the target is cold for longer than its service's are")
+	f.now = f.now.Add(testCold)
+	if f.cold("new") {
+		t.Error("the target is cold for longer than its service's cold time")
 	}
-	w.report("old", Target{Cold: testCold})
-	if !w.cold("old") {
-		t.Error("a target that reports to be cold is cold")
+	f.report("old", Target{Cold: testCold})
+	if !f.cold("old") {
+		t.Error("a target that reports a cold time must be cold")
 	}
-	w.now = w.now.Add(testCold)
-	// Another version of the entry makes it cold again.
-	w.report("old", Target{Cold: testCold})
-	if !w.cold("old") {
-		t.Error("a target that turns cold again is cold again")
+	f.now = f.now.Add(testCold)
+	// A new version of the entry restarts the cold time.
+	f.report("old", Target{Cold: testCold})
+	if !f.cold("old") {
+		t.Error("a target that reports a cold time again must be cold again")
 	}
-	w.now = w.now.Add(testCold)
-	w.b.setTargets(w.targets, w.now)
-	if w.cold("old") {
-		t.Error("an old entry that is seen again makes no target cold")
+	f.now = f.now.Add(testCold)
+	f.catalog.setTargets(f.targets, f.now)
+	if f.cold("old") {
+		t.Error("an unchanged entry must not make the target cold")
 	}
 }
 
 func TestTargetsOfAZoneThatReturnsAreHeldForAMoment(t *testing.T) {
-	w := newWorld(t, "a")
-	w.evacuate("z1")
-	if !w.b.view(noShares).Evacuated["z1"] {
+	f := newCatalogFixture(t, "a")
+	f.evacuate("z1")
+	if !f.catalog.view(noShares).Evacuated["z1"] {
 		t.Fatal("the zone is not evacuated")
 	}
-	w.evacuate()
-	if !w.cold("a") {
-		t.Error("the news that the target is cold may still be on its way")
+	f.evacuate()
+	if !f.cold("a") {
+		t.Error("the target must be cold, as its own report may arrive later")
 	}
-	w.now = w.now.Add(returnHold)
-	if w.cold("a") || w.b.view(noShares).Evacuated["z1"] {
-		t.Error("the target stays held")
+	f.now = f.now.Add(zoneReturnColdTime)
+	if f.cold("a") || f.catalog.view(noShares).Evacuated["z1"] {
+		t.Error("the target is still cold or its zone evacuated")
 	}
 }
 
@@ -217,51 +219,51 @@
 		name    string
 		outage  bool
 		missing []string
-		at      time.Duration // after the store is back
+		at      time.Duration // time since the end of the outage
 		want    int
 	}{
-		{"without an outage a missing target is gone", false, all[:2], 0, 2},
-		{"entries that lapsed are believed for a while", true, all, 0, 4},
-		{"and no longer", true, all, rejoinGrace + 1, 0},
-		{"a few are gone, the outage was this VM's own", true, all[:1], 0, 3},
+		{"without an outage, missing targets are dropped", false, all[:2], 0, 2},
+		{"targets whose entries expired in an outage are kept", true, all, 0, 4},
+		{"they are dropped after the grace period", true, all, rejoinGrace + 1, 0},
+		{"a few missing targets are dropped, as only this VM had an outage", true, all[:1], 0, 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, all...)
-			w.now = w.now.Add(time.Minute)
+			f := newCatalogFixture(t, all...)
+			f.now = f.now.Add(time.Minute)
 			if tt.outage {
-				w.b.regained = w.now
+				f.catalog.outageEnd = f.now
 			}
-			w.remove(tt.missing...)
-			w.now = w.now.Add(tt.at)
-			w.b.expire(w.now)
-			if len(w.b.targets) != tt.want {
-				t.Errorf("%d targets are believed, want %d", len(w.b.targets), tt.want)
+			f.remove(tt.missing...)
+			f.now = f.now.Add(tt.at)
+			f.catalog.expireMissing(f.now)
+			if len(f.catalog.targets) != tt.want {
+				t.Errorf("%d targets, want %d", len(f.catalog.targets), tt.want)
 			}
 		})
 	}
 }
 
 func TestLapsedTargetThatComesBackStays(t *testing.T) {
-	w := newWorld(t, "a", "b")
-	w.now = w.now.Add(time.Minute)
-	w.b.regained = w.now
-	w.remove("a", "b")
-	w.now = w.now.Add(time.Second)
-	w.report("a", Target{})
-	w.now = w.now.Add(rejoinGrace)
-	w.b.expire(w.now)
-	if w.b.targets["a"] == nil || w.b.targets["b"] != nil {
-		t.Errorf("believed: %v", w.b.states())
+	f := newCatalogFixture(t, "a", "b")
+	f.now = f.now.Add(time.Minute)
+	f.catalog.outageEnd = f.now
+	f.remove("a", "b")
+	f.now = f.now.Add(time.Second)
+	f.report("a", Target{})
+	f.now = f.now.Add(rejoinGrace)
+	f.catalog.expireMissing(f.now)
+	if f.catalog.targets["a"] == nil || f.catalog.targets["b"] != nil {
+		t.Errorf("targets: %v", f.catalog.states())
 	}
 }
 
 func TestLeavingTargetEndsWithItsEntry(t *testing.T) {
-	w := newWorld(t, "a", "b")
-	w.report("a", Target{Leaving: true})
-	w.b.regained = w.now
-	w.remove("a", "b")
-	if w.b.targets["a"] != nil {
-		t.Error("a target that said that it leaves is believed to be there")
+	f := newCatalogFixture(t, "a", "b")
+	f.report("a", Target{Leaving: true})
+	f.catalog.outageEnd = f.now
+	f.remove("a", "b")
+	if f.catalog.targets["a"] != nil {
+		t.Error("a leaving target is kept without its entry")
 	}
 }
--- a/internal/discovery/confirm_test.go
+++ b/internal/discovery/confirm_test.go
@@ -12,10 +12,10 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// revocationBound is the time after which removed keys must be refused.
+// revocationBound is the time within which removed keys must be refused by all VMs.
 const revocationBound = 5 * time.Second
 
-// newRevocationFleet is a fleet that bounds the age of documents.
+// newRevocationFleet starts a fleet whose deployment has a key revocation bound.
 func newRevocationFleet(t *testing.T, size int) *fleet {
 	f := newFleet(t, size)
 	f.revocation = revocationBound
@@ -28,14 +28,15 @@
 	return f
 }
 
-// checkAges checks for some time that no VM's proven age is less than the true age of its document.
-func (f *fleet) checkAges(length time.Duration) {
+// checkDocumentAges writes documents for the given duration and checks that DocumentAge of a VM without
+// the latest document is never less than the time since that was written.
+func (f *fleet) checkDocumentAges(duration time.Duration) {
 	f.t.Helper()
-	end := time.Now().Add(length)
+	end := time.Now().Add(duration)
 	written := time.Now()
 	for time.Now().Before(end) {
 		if time.Since(written) > 700*time.Millisecond {
-			f.change()
+			f.writeDocument()
 			written = time.Now()
 		}
 		time.Sleep(13 * time.Millisecond)
@@ -43,16 +44,16 @@
 		for name, s := range f.vms {
 			age := s.DocumentAge()
 			if v := s.View(); v != nil && v.Snapshot.Generation < f.gen && age < time.Since(written) {
-				f.t.Fatalf("%s proves an age of %v without the document of %v ago", name, age, time.Since(written))
+				f.t.Fatalf("%s: document age %v, but it lacks the document written %v ago", name, age, time.Since(written))
 			}
 		}
 	}
 }
 
-func TestDocumentsAreAtLeastAsRecentAsProven(t *testing.T) {
+func TestDocumentAgeIsAnUpperBound(t *testing.T) {
 	tests := map[string]func(f *fleet){
 		"calm": func(*fleet) {},
-		"late and lost messages": func(f *fleet) {
+		"delayed and lost messages": func(f *fleet) {
 			f.hub.SetFault(peertest.Any, peertest.Any, peertest.Fault{Drop: 0.05, Delay: 55 * time.Millisecond, Jitter: 400 * time.Millisecond})
 		},
 		"a slow store": func(f *fleet) {
@@ -61,9 +62,9 @@
 				return platformtest.FaultNone
 			})
 		},
-		"most are refused by the store": func(f *fleet) {
+		"the store refuses most VMs": func(f *fleet) {
 			for i, m := range f.view.Members {
-				f.reach[m.Name].refused.Store(i%4 != 0)
+				f.access[m.Name].refused.Store(i%4 != 0)
 			}
 		},
 		"paused VMs": func(f *fleet) {
@@ -77,29 +78,29 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newRevocationFleet(t, 12)
 				prepare(f)
-				f.checkAges(8 * time.Second)
+				f.checkDocumentAges(8 * time.Second)
 			})
 		})
 	}
 }
 
-// oldest returns the greatest age that a VM's document may have had in some time.
-func (f *fleet) oldest(length time.Duration) time.Duration {
-	worst := time.Duration(0)
-	for end := time.Now().Add(length); time.Now().Before(end); {
+// maxDocumentAge returns the greatest DocumentAge of all VMs within the given duration.
+func (f *fleet) maxDocumentAge(duration time.Duration) time.Duration {
+	maxAge := time.Duration(0)
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(37 * time.Millisecond)
 		synctest.Wait()
 		for _, s := range f.vms {
-			worst = max(worst, s.DocumentAge())
+			maxAge = max(maxAge, s.DocumentAge())
 		}
 	}
-	return worst
+	return maxAge
 }
 
-// VMs that lose the store for nine seconds must use keys for two fifths of them, and one that only its
-// peers reach for all of them.
+// VMs that lose the store for nine seconds must accept keys for two fifths of that time, and VMs that
+// reach only their peers must accept them for all of it.
 func TestAgesOfDocuments(t *testing.T) {
-	const calm = revocationBound - 9*time.Second*2/5 - 50*time.Millisecond
+	const maxAge = revocationBound - 9*time.Second*2/5 - 50*time.Millisecond
 	for _, size := range []int{6, 85, 300} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -107,52 +108,52 @@
 				f.hub.SetFault(peertest.Any, peertest.Any, peertest.Fault{Delay: 55 * time.Millisecond})
 				time.Sleep(3 * time.Second)
 				before := f.calls()
-				if age := f.oldest(4 * time.Second); age > calm {
-					t.Errorf("a document may be %v old, want at most %v", age, calm)
+				if age := f.maxDocumentAge(4 * time.Second); age > maxAge {
+					t.Errorf("document age %v, want at most %v", age, maxAge)
 				}
 				t.Logf("%d calls to the store in 4 s", f.calls()-before)
-				reading, leader := f.watchersOf()
-				f.reach[reading[0]].refused.Store(true)
-				f.reach[leader].refused.Store(true)
-				if age := f.oldest(8 * time.Second); age >= revocationBound {
-					t.Errorf("a document may be %v old, where the store refuses two VMs", age)
+				reading, leader := f.watchersAndLeader()
+				f.access[reading[0]].refused.Store(true)
+				f.access[leader].refused.Store(true)
+				if age := f.maxDocumentAge(8 * time.Second); age >= revocationBound {
+					t.Errorf("document age %v while the store refuses two VMs", age)
 				}
-				f.reach[reading[0]].silent.Store(true)
-				f.reach[leader].silent.Store(true)
-				if age := f.oldest(8 * time.Second); age >= revocationBound {
-					t.Errorf("a document may be %v old, where the store is silent to two VMs", age)
+				f.access[reading[0]].silent.Store(true)
+				f.access[leader].silent.Store(true)
+				if age := f.maxDocumentAge(8 * time.Second); age >= revocationBound {
+					t.Errorf("document age %v while the store does not answer two VMs", age)
 				}
 			})
 		})
 	}
 }
 
-// A VM without a way to the store or to peers knows that its document ages.
+// The document age must keep growing while the store answers no VM, and recover after the outage.
 func TestDocumentAgesWithoutTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRevocationFleet(t, 6)
-		for _, r := range f.reach {
-			r.silent.Store(true)
+		for _, a := range f.access {
+			a.silent.Store(true)
 		}
 		time.Sleep(revocationBound)
 		for name, s := range f.vms {
 			if age := s.DocumentAge(); age < revocationBound {
-				t.Errorf("%s proves an age of %v, %v after the store went silent", name, age, revocationBound)
+				t.Errorf("%s: document age %v, %v after the store stopped answering", name, age, revocationBound)
 			}
 		}
-		for _, r := range f.reach {
-			r.silent.Store(false)
+		for _, a := range f.access {
+			a.silent.Store(false)
 		}
 		time.Sleep(storeTimeout + time.Second)
 		for name, s := range f.vms {
 			if age := s.DocumentAge(); age > 2*time.Second {
-				t.Errorf("%s: age %v a second after the outage", name, age)
+				t.Errorf("%s: document age %v a second after the outage", name, age)
 			}
 		}
 	})
 }
 
-// suspendedClock is a boot clock of a machine that was suspended.
+// suspendedClock is the boot clock of a machine that was suspended for some time.
 type suspendedClock struct {
 	kernel.BootClock
 	suspended time.Duration
@@ -162,7 +163,7 @@
 
 func TestSuspensionAgesTheDocument(t *testing.T) {
 	clock := &suspendedClock{BootClock: kernel.NewMonotonicBootClock()}
-	c := confirmations{boot: clock}
+	c := confirmationTracker{boot: clock}
 	c.record(confirmation{known: true, at: clock.SinceBoot()})
 	clock.suspended = time.Minute
 	if age := c.age(); age < time.Minute {
@@ -170,11 +171,11 @@
 	}
 }
 
-// A peer can't make a document seem newer than now.
+// A peer's answer must not confirm a document at a time in the future.
 func TestConfirmationsAreNotInTheFuture(t *testing.T) {
-	c := confirmations{boot: kernel.NewMonotonicBootClock()}
+	c := confirmationTracker{boot: kernel.NewMonotonicBootClock()}
 	a := pollAnswer{Confirmed: true, ConfirmedAt: time.Hour}
-	c.record(a.change("doc", c.boot.SinceBoot()).confirmed)
+	c.record(a.toChange("doc", c.boot.SinceBoot()).confirmed)
 	if age := c.age(); age < 0 {
 		t.Errorf("age %v", age)
 	}
--- a/internal/discovery/decoder.go
+++ b/internal/discovery/decoder.go
@@ -1,6 +1,6 @@
 // Package discovery maintains the catalog of this VM: the document, the targets and the
-// evacuated availability zones. It mirrors kinds of the platform's store, read by few VMs
-// and relayed among the others, and publishes immutable views.
+// evacuated availability zones. It mirrors objects of the platform's store, which a few VMs read
+// and relay to the others, and publishes immutable views.
 package discovery
 
 import (
@@ -15,19 +15,19 @@
 	"masticturn/internal/platform"
 )
 
-// Kinds names what is mirrored.
+// Kinds names the kinds of objects that are mirrored.
 type Kinds struct {
 	Document     platform.Kind
-	DocumentName string        // of the object that holds the document
-	Evacuations  platform.Kind // named by availability zone
-	Targets      platform.Kind // named by instance
+	DocumentName string        // name of the object that holds the document
+	Evacuations  platform.Kind // objects are named by availability zone
+	Targets      platform.Kind // objects are named by instance
 }
 
-// Target is a target's own entry.
+// Target is the entry that a target writes about itself.
 type Target struct {
-	Instance string // the id under which it registers
-	Born     int64  // start, in Unix milliseconds; 0: unknown
-	Sequence int64  // of its reports since the start
+	Instance string // id under which the target registers
+	Born     int64  // start time in Unix milliseconds; 0: unknown
+	Sequence int64  // number of the report since the start
 	Service  string
 	Address  string
 	Zone     string // availability zone
@@ -36,14 +36,14 @@
 	Cold     time.Duration // remaining cold time when the entry was written
 }
 
-// A start is appended to names in base 36, which keeps the names in messages short.
+// The start time is appended to names in base 36, to keep names in messages short.
 const (
 	startBase      = 36
 	startSeparator = "@"
 )
 
-// Name identifies one start of the target. State of targets is kept by it, as a new start
-// shares nothing with the one before.
+// Name identifies one start of the target. State about targets is keyed by this name, because a
+// restarted target shares no state with its previous start.
 func (t *Target) Name() string {
 	if t.Born == 0 {
 		return t.Instance
@@ -55,14 +55,14 @@
 const (
 	maxSlots         = 1 << 16
 	maxColdTime      = time.Hour
-	maxInstanceBytes = 128 // bytes of an id
+	maxInstanceBytes = 128 // length of an id
 )
 
-// check returns the first invalid field as a *FieldError, or nil. Places maps the
-// deployment's availability zones to regions.
-func (t *Target) check(places map[string]string) error {
-	if !validInstance(t.Instance) {
-		return &FieldError{"name", t.Instance[:min(len(t.Instance), maxInstanceBytes)], fmt.Sprintf("1 to %d printable characters without space and %s", maxInstanceBytes, startSeparator)}
+// validate returns the first invalid field as a *FieldError, or nil. regionByZone maps the
+// deployment's availability zones to their regions.
+func (t *Target) validate(regionByZone map[string]string) error {
+	if !isValidInstance(t.Instance) {
+		return &FieldError{"name", t.Instance[:min(len(t.Instance), maxInstanceBytes)], fmt.Sprintf("1 to %d printable ASCII characters other than space and %s", maxInstanceBytes, startSeparator)}
 	}
 	if t.Slots < 1 || t.Slots > maxSlots {
 		return &FieldError{"slots", strconv.Itoa(t.Slots), fmt.Sprintf("1 to %d", maxSlots)}
@@ -71,9 +71,9 @@
 		return &FieldError{"cold time", t.Cold.String(), "0 to " + maxColdTime.String()}
 	}
 	if t.Born < 0 || t.Sequence < 0 {
-		return &FieldError{"start", fmt.Sprintf("%d, report %d", t.Born, t.Sequence), "numbers that are not negative"}
+		return &FieldError{"start", fmt.Sprintf("%d, report %d", t.Born, t.Sequence), "non-negative numbers"}
 	}
-	if places[t.Zone] == "" {
+	if regionByZone[t.Zone] == "" {
 		return &FieldError{"zone", t.Zone, "an availability zone of the deployment"}
 	}
 	if address, err := netip.ParseAddrPort(t.Address); err != nil || address.Port() == 0 {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// validInstance reports whether an id is valid in headers and in Name.
-func validInstance(id string) bool {
+// isValidInstance reports whether an id can be used in headers and in Name.
+func isValidInstance(id string) bool {
 	for _, c := range []byte(id) {
 		if c <= ' ' || c > '~' || string(c) == startSeparator {
 			return false
@@ -92,10 +92,10 @@
 	return len(id) >= 1 && len(id) <= maxInstanceBytes
 }
 
-// FieldError is an invalid field of a stored object.
+// FieldError reports an invalid field of a stored object.
 type FieldError struct {
-	Field   string // path within the object; "" is the object itself
-	Got     string // the value, or the beginning of a long one
+	Field   string // path within the object; "" for the object itself
+	Got     string // the value, truncated if long
 	Allowed string
 }
 
@@ -104,18 +104,18 @@
 	return fmt.Sprintf("field %q: got %q; allowed is %s", e.Field, e.Got, e.Allowed)
 }
 
-// ErrOmitted is returned for objects whose content was too long to be kept.
-var ErrOmitted = errors.New("the entry is too long")
+// ErrOmitted is returned for objects whose content was too large to be kept.
+var ErrOmitted = errors.New("the object's content is too large")
 
-// Content is the content of the document's object.
+// Content is the decoded object that holds the document.
 type Content struct {
 	Generation config.Generation
 	Document   *config.Document
-	Customers  *customer.Directory // nil: there are none
+	Customers  *customer.Directory // nil if there are no customers
 }
 
-// Decoder decodes objects of the store, which anyone may have written. Errors describe
-// invalid content.
+// Decoder decodes objects of the store. Their content is untrusted. Errors describe invalid
+// content.
 type Decoder interface {
 	Kinds() Kinds
 	Document(platform.Object) (*Content, error)
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -18,79 +18,79 @@
 	"masticturn/internal/telemetry"
 )
 
-// inForceBound is the deployments' tightest bound until a change is known to every VM.
+// inForceBound is the tightest bound of a deployment on the time until a change is known to all VMs.
 const inForceBound = 2 * time.Second
 
-// fixedMembers is a view that all VMs share.
+// fixedMembers is a membership.Source whose view never changes.
 type fixedMembers struct{ view *membership.View }
 
 func (f fixedMembers) View() *membership.View                  { return f.view }
 func (f fixedMembers) Subscribe(func(*membership.View)) func() { return func() {} }
 
-// reach is a VM's path to the store.
-type reach struct {
+// storeAccess is a VM's connection to the shared store, with injected faults and a call counter.
+type storeAccess struct {
 	*platformtest.Store
 	refused atomic.Bool // the store refuses this VM
-	silent  atomic.Bool // no answers
+	silent  atomic.Bool // calls time out
 	calls   atomic.Int64
 }
 
-const storeTimeout = 700 * time.Millisecond // of a call, as on the platform
+const storeTimeout = 700 * time.Millisecond // timeout of a call, as on the platform
 
-func (r *reach) gate(ctx context.Context) error {
-	r.calls.Add(1)
-	if r.silent.Load() {
+func (a *storeAccess) check(ctx context.Context) error {
+	a.calls.Add(1)
+	if a.silent.Load() {
 		sleep(ctx, storeTimeout)
 		return platform.ErrUnavailable
 	}
-	if r.refused.Load() {
+	if a.refused.Load() {
 		return platform.ErrUnavailable
 	}
 	return nil
 }
 
-func (r *reach) List(ctx context.Context, kind platform.Kind) ([]platform.Object, platform.Version, error) {
-	if err := r.gate(ctx); err != nil {
+func (a *storeAccess) List(ctx context.Context, kind platform.Kind) ([]platform.Object, platform.Version, error) {
+	if err := a.check(ctx); err != nil {
 		return nil, 0, err
 	}
-	return r.Store.List(ctx, kind)
+	return a.Store.List(ctx, kind)
 }
 
-func (r *reach) Watch(ctx context.Context, kind platform.Kind, since platform.Version) ([]platform.Event, platform.Version, error) {
-	if err := r.gate(ctx); err != nil {
+func (a *storeAccess) Watch(ctx context.Context, kind platform.Kind, since platform.Version) ([]platform.Event, platform.Version, error) {
+	if err := a.check(ctx); err != nil {
 		return nil, since, err
 	}
-	events, asOf, err := r.Store.Watch(ctx, kind, since)
-	if r.silent.Load() { // it went silent during the call
+	events, asOf, err := a.Store.Watch(ctx, kind, since)
+	if a.silent.Load() { // set during the call
 		return nil, since, platform.ErrUnavailable
 	}
 	return events, asOf, err
 }
 
-// fleet is several VMs with one store.
+// fleet is a set of VMs that share one store.
 type fleet struct {
-	t     *testing.T
-	hub   *peertest.Hub
-	store *platformtest.Store
-	vms   map[string]*Service
-	reach map[string]*reach
-	view  *membership.View
-	gen   config.Generation
-	bound time.Duration // until changes are known
-
-	firstStart bool          // of the whole fleet
-	revocation time.Duration // bound of removed keys; 0: none
+	t      *testing.T
+	hub    *peertest.Hub
+	store  *platformtest.Store
+	vms    map[string]*Service
+	access map[string]*storeAccess
+	view   *membership.View
+	gen    config.Generation
+	bound  time.Duration // time until a change is known to all VMs
+
+	firstStart bool          // the whole fleet starts for the first time
+	revocation time.Duration // bound of key revocation; 0: none
 }
 
-// newFleet starts VMs in three regions, with a document in force everywhere.
+// newFleet starts VMs in three regions and waits until all of them have a document in force.
 func newFleet(t *testing.T, size int) *fleet { return newBoundFleet(t, size, inForceBound) }
 
-// newBoundFleet is newFleet with another bound.
+// newBoundFleet is like newFleet, with the given bound.
 func newBoundFleet(t *testing.T, size int, bound time.Duration) *fleet {
 	f := &fleet{
 		bound: bound, firstStart: true,
 		t: t, hub: peertest.NewHub(1), store: platformtest.NewStore(),
-		vms: make(map[string]*Service), reach: make(map[string]*reach), view: &membership.View{},
+		vms: make(map[string]*Service), access: make(map[string]*storeAccess), view: &membership.View{},
 	}
 	f.store.WatchTimeout = Timings(jsonDecoder{}.Kinds(), f.bounds())[jsonDecoder{}.Kinds().Document].Watch
 	for i := range size {
@@ -98,14 +98,14 @@
 			Name: fmt.Sprintf("vm-%03d", i), Region: fmt.Sprintf("r%d", i%3), State: membership.Alive, Generation: 1,
 		})
 	}
-	f.change()
+	f.writeDocument()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for _, m := range f.view.Members {
 		f.start(ctx, m.Name)
 	}
 	t.Cleanup(f.stop)
-	f.wantEverywhere("at the start")
+	f.wantDocumentEverywhere("at the start")
 	f.firstStart = false
 	return f
 }
@@ -121,9 +121,9 @@
 	for _, other := range f.view.Members {
 		network.SetAddress(other.Name, peertest.Address(other.Name))
 	}
-	f.reach[name] = &reach{Store: f.store}
+	f.access[name] = &storeAccess{Store: f.store}
 	f.vms[name] = NewService(Deps{
-		Store: f.reach[name], Decoder: jsonDecoder{}, Members: fixedMembers{&view}, Network: network,
+		Store: f.access[name], Decoder: jsonDecoder{}, Members: fixedMembers{&view}, Network: network,
 		Joined: func() bool { return true }, FirstStart: f.firstStart,
 		Places: map[string]string{"z1": "r0"}, Bounds: f.bounds(), Shares: noShares,
 		Clock: kernel.SystemClock{}, Logger: telemetry.Discard(),
@@ -133,50 +133,51 @@
 	}
 }
 
-// restart restarts a VM's process.
+// restart stops and starts a VM's service.
 func (f *fleet) restart(name string) {
 	_ = f.vms[name].Stop(context.Background())
-	f.startAgain(name)
+	f.startStopped(name)
 }
 
-// startAgain starts an ended process.
-func (f *fleet) startAgain(name string) {
-	calls := f.reach[name].calls.Load()
+// startStopped starts the service of a stopped VM and keeps its call count.
+func (f *fleet) startStopped(name string) {
+	calls := f.access[name].calls.Load()
 	ctx, cancel := context.WithCancel(context.Background())
 	f.t.Cleanup(cancel)
 	f.start(ctx, name)
-	f.reach[name].calls.Add(calls)
+	f.access[name].calls.Add(calls)
 }
 
 func (f *fleet) stop() {
 	for _, s := range f.vms {
 		_ = s.Stop(context.Background())
 	}
-	time.Sleep(time.Second) // delivers messages of a paused VM
+	time.Sleep(time.Second) // let pending messages of a paused VM be delivered
 }
 
-// change writes a newer document.
-func (f *fleet) change() {
+// writeDocument writes a document of the next generation.
+func (f *fleet) writeDocument() {
 	f.gen++
 	f.store.Put("doc", "main", encode(f.t, testDocument{Generation: f.gen}))
 }
 
-// watchersOf returns the VMs that read the store and the leader of a region without one.
-func (f *fleet) watchersOf() (reading []string, leader string) {
-	order := leaders(byRegion(f.view))
-	for _, m := range order[:watchers] {
+// watchersAndLeader returns the watchers and the leader of the region that has no watcher.
+func (f *fleet) watchersAndLeader() (reading []string, leader string) {
+	order := rankedLeaders(liveByRegion(f.view))
+	for _, m := range order[:watcherCount] {
 		reading = append(reading, m.Name)
 	}
-	return reading, order[watchers].Name
+	return reading, order[watcherCount].Name
 }
 
-// wantEverywhere checks that all VMs except some get the newest document within the bound.
-func (f *fleet) wantEverywhere(when string, but ...string) {
+// wantDocumentEverywhere waits for the bound and checks that all VMs except the given ones have the
+// latest document in force.
+func (f *fleet) wantDocumentEverywhere(when string, except ...string) {
 	f.t.Helper()
 	time.Sleep(f.bound)
 	synctest.Wait()
 	for name, s := range f.vms {
-		if contains(but, name) {
+		if contains(except, name) {
 			continue
 		}
 		v := s.View()
@@ -196,29 +197,29 @@
 }
 
 func TestChangesReachAllVMsInTime(t *testing.T) {
-	tests := map[string]func(f *fleet) (but []string){
+	tests := map[string]func(f *fleet) (except []string){
 		"calm": func(*fleet) []string { return nil },
 		"both watchers are refused by the store": func(f *fleet) []string {
-			reading, _ := f.watchersOf()
+			reading, _ := f.watchersAndLeader()
 			for _, vm := range reading {
-				f.reach[vm].refused.Store(true)
+				f.access[vm].refused.Store(true)
 			}
-			return reading // they read the store
+			return reading // they only read the store
 		},
-		"both watchers and a leader find the store silent": func(f *fleet) []string {
-			reading, leader := f.watchersOf()
+		"both watchers and a leader get no answer from the store": func(f *fleet) []string {
+			reading, leader := f.watchersAndLeader()
 			for _, vm := range append(reading, leader) {
-				f.reach[vm].silent.Store(true)
+				f.access[vm].silent.Store(true)
 			}
 			return append(reading, leader)
 		},
-		"a watcher dies": func(f *fleet) []string {
-			reading, _ := f.watchersOf()
+		"a watcher crashes": func(f *fleet) []string {
+			reading, _ := f.watchersAndLeader()
 			f.hub.Remove(reading[0])
 			return nil
 		},
-		"a leader stands still": func(f *fleet) []string {
-			_, leader := f.watchersOf()
+		"a leader is paused": func(f *fleet) []string {
+			_, leader := f.watchersAndLeader()
 			f.hub.Pause(leader)
 			f.t.Cleanup(func() { f.hub.Resume(leader) })
 			return []string{leader}
@@ -227,44 +228,44 @@
 			f.hub.SetFault(peertest.Any, peertest.Any, peertest.Fault{Cut: true})
 			return nil
 		},
-		"messages are late and lost": func(f *fleet) []string {
+		"messages are delayed and lost": func(f *fleet) []string {
 			f.hub.SetFault(peertest.Any, peertest.Any, peertest.Fault{Drop: 0.03, Delay: 55 * time.Millisecond})
 			return nil
 		},
-		"the store dropped its history": func(f *fleet) []string {
+		"the store compacted its history": func(f *fleet) []string {
 			f.store.Compact()
 			return nil
 		},
 	}
 	for name, prepare := range tests {
-		for phase := range 4 { // of pending watches
+		for phase := range 4 { // offset of the change within the pending watches
 			t.Run(fmt.Sprintf("%s/%d", name, phase), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFleet(t, 10)
 					time.Sleep(5*time.Second + time.Duration(phase)*250*time.Millisecond)
-					but := prepare(f)
-					f.change()
-					f.wantEverywhere(name, but...)
+					except := prepare(f)
+					f.writeDocument()
+					f.wantDocumentEverywhere(name, except...)
 				})
 			})
 		}
 	}
 }
 
-// A tighter bound is held.
+// Changes reach all VMs within a bound that is tighter than the default one.
 func TestTighterBoundsAreFollowed(t *testing.T) {
 	const bound = 1200 * time.Millisecond
-	for phase := range 8 { // of pending watches
+	for phase := range 8 { // offset of the change within the pending watches
 		synctest.Test(t, func(t *testing.T) {
 			f := newBoundFleet(t, 10, bound)
 			time.Sleep(5*time.Second + time.Duration(phase)*100*time.Millisecond)
-			reading, leader := f.watchersOf()
+			reading, leader := f.watchersAndLeader()
 			silent := append(reading, leader)
 			for _, vm := range silent {
-				f.reach[vm].silent.Store(true)
+				f.access[vm].silent.Store(true)
 			}
-			f.change()
-			f.wantEverywhere(fmt.Sprintf("watchers and a leader find the store silent, phase %d", phase), silent...)
+			f.writeDocument()
+			f.wantDocumentEverywhere(fmt.Sprintf("watchers and a leader get no answer from the store, phase %d", phase), silent...)
 		})
 	}
 }
@@ -295,61 +296,62 @@
 func TestChangesReachAllVMsAfterAnOutageOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 10)
-		for _, r := range f.reach {
-			r.silent.Store(true)
+		for _, a := range f.access {
+			a.silent.Store(true)
 		}
 		time.Sleep(8 * time.Second)
-		for _, r := range f.reach {
-			r.silent.Store(false)
+		for _, a := range f.access {
+			a.silent.Store(false)
 		}
-		f.change()
-		f.wantEverywhere("after the outage")
+		f.writeDocument()
+		f.wantDocumentEverywhere("after the outage")
 	})
 }
 
-// A VM that the store refuses gets changes from peers.
+// A VM that the store refuses receives changes from its peers.
 func TestRefusedVMFollowsPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 10)
-		reading, leader := f.watchersOf()
-		f.reach[leader].refused.Store(true)
-		f.reach[reading[0]].refused.Store(true)
+		reading, leader := f.watchersAndLeader()
+		f.access[leader].refused.Store(true)
+		f.access[reading[0]].refused.Store(true)
 		time.Sleep(5 * time.Second)
-		f.change()
-		f.wantEverywhere("some are refused", reading[0])
+		f.writeDocument()
+		f.wantDocumentEverywhere("some are refused", reading[0])
 	})
 }
 
-// The calls of a quiet fleet do not grow with it.
+// The number of store calls of an idle fleet and per change must not grow with the fleet.
 func TestStoreCallsDoNotGrowWithTheFleet(t *testing.T) {
 	const minute = time.Minute
-	most := int64(float64(watchers*3) * minute.Seconds() / 0.95)
+	maxCalls := int64(float64(watcherCount*3) * minute.Seconds() / 0.95)
 	for _, size := range []int{10, 30, 87} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, size)
-				time.Sleep(5 * time.Second) // all VMs have settled
+				time.Sleep(5 * time.Second) // let the calls of the start end
 				before := f.calls()
 				time.Sleep(minute)
 				calls := f.calls() - before
-				if calls > most || calls < most/2 {
-					t.Errorf("%d calls in a minute, want at most %d", calls, most)
+				if calls > maxCalls || calls < maxCalls/2 {
+					t.Errorf("%d calls in a minute, want at most %d", calls, maxCalls)
 				}
 				before = f.calls()
 				for range 10 {
-					f.change()
+					f.writeDocument()
 					time.Sleep(time.Second)
 				}
-				perEvent := float64(f.calls()-before-most/6) / 10
-				if perEvent > 2*watchers {
-					t.Errorf("%.1f calls for a change, want at most %d", perEvent, 2*watchers)
+				perEvent := float64(f.calls()-before-maxCalls/6) / 10
+				if perEvent > 2*watcherCount {
+					t.Errorf("%.1f calls for a change, want at most %d", perEvent, 2*watcherCount)
 				}
 			})
 		})
 	}
 }
 
-// Every chain of sources ends at a reader within few hops, and no VM serves too many others.
+// Every chain of first sources ends at a watcher within a few hops, and no VM is polled by too many
+// others.
 func TestSourcesOfAllVMs(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 10, 87, 1400} {
 		view := &membership.View{}
@@ -358,39 +360,39 @@
 				Name: fmt.Sprintf("vm-%04d", i), Region: fmt.Sprintf("r%d", i%9), State: membership.Alive,
 			})
 		}
-		first := make(map[string]string)
-		told := make(map[string]int)
+		preferred := make(map[string]string)
+		pollers := make(map[string]int)
 		reading := 0
 		for _, m := range view.Members {
 			own := *view
 			own.Self = m.Name
-			if p := sourcesOf(&own).vms; len(p) > 0 {
-				first[m.Name] = p[0]
-				told[p[0]]++
+			if p := sourcesFor(&own).preferred; len(p) > 0 {
+				preferred[m.Name] = p[0]
+				pollers[p[0]]++
 			} else {
 				reading++
 			}
 		}
-		if reading != min(watchers, size) {
+		if reading != min(watcherCount, size) {
 			t.Errorf("%d VMs: %d read the store", size, reading)
 		}
-		for name := range first {
+		for name := range preferred {
 			steps := 0
-			for at := name; first[at] != ""; at = first[at] {
+			for at := name; preferred[at] != ""; at = preferred[at] {
 				if steps++; steps > 4 {
-					t.Fatalf("%d VMs: the way of %s does not end", size, name)
+					t.Fatalf("%d VMs: %s is too many hops from a watcher", size, name)
 				}
 			}
 		}
-		for name, n := range told {
-			if n > fanOut+9 { // those of its region and the leaders of others
-				t.Errorf("%d VMs: %s tells %d others", size, name, n)
+		for name, n := range pollers {
+			if n > fanOut+9 { // VMs of its region and the leaders of others
+				t.Errorf("%d VMs: %s is polled by %d others", size, name, n)
 			}
 		}
 	}
 }
 
-// A quiet VM's polls do not grow with the fleet.
+// The bytes per second that polls of an idle VM take must not grow with the fleet.
 func TestPollBytesDoNotGrowWithTheFleet(t *testing.T) {
 	const minute = time.Minute
 	for _, size := range []int{10, 30, 87} {
@@ -400,10 +402,10 @@
 			time.Sleep(minute)
 			after := f.hub.Stats()
 			perVM := float64(after.Bytes-before.Bytes) / float64(size) / minute.Seconds()
-			t.Logf("%d VMs: %.0f bytes/s and %.1f messages/s a VM", size, perVM,
+			t.Logf("%d VMs: %.0f bytes/s and %.1f messages/s per VM", size, perVM,
 				float64(after.Messages-before.Messages)/float64(size)/minute.Seconds())
 			if perVM > 500 {
-				t.Errorf("%d VMs: %.0f bytes/s a VM", size, perVM)
+				t.Errorf("%d VMs: %.0f bytes/s per VM", size, perVM)
 			}
 		})
 	}
@@ -411,8 +413,8 @@
 
 func (f *fleet) calls() int64 {
 	var n int64
-	for _, r := range f.reach {
-		n += r.calls.Load()
+	for _, a := range f.access {
+		n += a.calls.Load()
 	}
 	return n
 }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -9,7 +9,7 @@
 	"masticturn/internal/platform"
 )
 
-// corruptCases is the number of corrupt copies in an ordinary run.
+// corruptCases is the number of corrupted inputs in a run without fuzzing.
 const corruptCases = 4000
 
 func entrySeeds() [][]byte {
@@ -19,24 +19,24 @@
 	}
 }
 
-// checkEntry overwrites a valid entry with any bytes. The view must hold valid targets only,
-// and the other target always.
+// checkEntry overwrites a valid entry with arbitrary bytes. The view must hold only valid targets and
+// must keep the other target.
 func checkEntry(t *testing.T, data []byte) {
-	w := newWorld(t, "other", "a")
-	faults := w.put("a", string(data))
-	v := w.b.view(noShares)
+	f := newCatalogFixture(t, "other", "a")
+	invalid := f.put("a", string(data))
+	v := f.catalog.view(noShares)
 	found := 0
 	for _, target := range v.Snapshot.Services()[0].AllTargets {
 		found++
 		if target.Region == "" || target.Slots < 1 || target.Address == "" || target.Instance == "" {
-			t.Errorf("%q makes a target %+v", data, target.Target)
+			t.Errorf("%q results in the invalid target %+v", data, target.Target)
 		}
 	}
 	if v.Snapshot.Target("other") == nil {
-		t.Errorf("%q takes the other target away", data)
+		t.Errorf("%q removes the other target", data)
 	}
-	if len(faults) > 0 && found != 1 {
-		t.Errorf("%q names no target, and there are %d", data, found)
+	if len(invalid) > 0 && found != 1 {
+		t.Errorf("%q is invalid, but there are %d targets", data, found)
 	}
 }
 
@@ -55,7 +55,7 @@
 	entry := platform.Object{Kind: "targets", Name: "a", Version: 7, Value: entrySeeds()[0]}
 	var seeds [][]byte
 	for _, a := range []pollAnswer{
-		{Listed: true, Changed: []platform.Object{entry}, AsOf: 9, Age: time.Second},
+		{Complete: true, Changed: []platform.Object{entry}, AsOf: 9, Age: time.Second},
 		{Changed: []platform.Object{entry}, Removed: []string{"b"}, AsOf: 9},
 	} {
 		raw, err := peer.Encode(&a)
@@ -67,7 +67,8 @@
 	return seeds
 }
 
-// checkPoll applies a peer's answer. It must not move the mirror back or exceed its limits.
+// checkPoll applies arbitrary bytes as a peer's answer. They must not decrease the mirror's version or
+// exceed its limits.
 func checkPoll(t *testing.T, data []byte) {
 	var a pollAnswer
 	if peer.CheckPayload(data) != nil || peer.Decode(data, &a) != nil {
@@ -75,17 +76,17 @@
 	}
 	m := NewMirror(maxEntryBytes)
 	m.Replace([]platform.Object{object("a", 5)}, 5)
-	if c := a.change("targets", 0); c.listed {
-		m.Replace(c.list, c.asOf)
+	if c := a.toChange("targets", 0); c.complete {
+		m.Replace(c.objects, c.asOf)
 	} else {
 		m.Apply(c.events, c.asOf)
 	}
 	if m.AsOf() < 5 {
-		t.Errorf("%q takes the mirror back to %d", data, m.AsOf())
+		t.Errorf("%q decreases the mirror's version to %d", data, m.AsOf())
 	}
 	for _, o := range m.Objects() {
 		if len(o.Value)+len(o.Status) > maxEntryBytes {
-			t.Errorf("an object of %d bytes is kept", len(o.Value)+len(o.Status))
+			t.Errorf("the mirror keeps an object of %d bytes", len(o.Value)+len(o.Status))
 		}
 	}
 }
--- a/internal/discovery/mirror.go
+++ b/internal/discovery/mirror.go
@@ -7,27 +7,27 @@
 	"masticturn/internal/platform"
 )
 
-// Mirror is a copy of the objects of one kind as of a version of the store. It only moves
-// forward: older state is ignored, whatever its source. It does no I/O and is not safe for
+// Mirror is a copy of the objects of one kind as of a version of the store. Its version never
+// decreases: older state is ignored, whatever its source. It does no I/O and is not safe for
 // concurrent use.
 type Mirror struct {
-	maxBytes int // of an object's content
-	asOf     platform.Version
-	objects  map[string]platform.Object
-	removed  map[string]platform.Version // deleted names with the version
-	floor    platform.Version            // from which removed is complete
+	maxBytes     int // limit of an object's content
+	asOf         platform.Version
+	objects      map[string]platform.Object
+	tombstones   map[string]platform.Version // names of deleted objects, with the version of the deletion
+	historyStart platform.Version            // version from which tombstones is complete
 }
 
-// maxRemoved bounds the recorded names of deleted objects.
-const maxRemoved = 4096
+// maxTombstones is the number of tombstones at which all of them are discarded.
+const maxTombstones = 4096
 
-// NewMirror returns an empty mirror. Of objects longer than maxBytes it keeps only name and
-// version, to bound the memory.
-func NewMirror(most int) *Mirror {
-	return &Mirror{maxBytes: most, objects: make(map[string]platform.Object), removed: make(map[string]platform.Version)}
+// NewMirror returns an empty mirror. To bound memory, it discards the content of objects larger
+// than maxBytes.
+func NewMirror(maxBytes int) *Mirror {
+	return &Mirror{maxBytes: maxBytes, objects: make(map[string]platform.Object), tombstones: make(map[string]platform.Version)}
 }
 
-// AsOf returns the version of the store that the mirror shows; 0: none yet.
+// AsOf returns the version of the store that the mirror reflects; 0 if it has no state yet.
 func (m *Mirror) AsOf() platform.Version { return m.asOf }
 
 // Objects returns the objects, sorted by name.
@@ -40,7 +40,7 @@
 	return out
 }
 
-// Get returns an object.
+// Get returns the object of a name.
 func (m *Mirror) Get(name string) (platform.Object, bool) {
 	o, ok := m.objects[name]
 	return o, ok
@@ -58,23 +58,23 @@
 		changed = m.put(o) || changed
 	}
 	for name, o := range m.objects {
-		// Objects newer than the list were created after it.
+		// An object newer than the list was created after the list was read.
 		if !listed[name] && o.Version <= asOf {
 			m.remove(name, asOf)
 			changed = true
 		}
 	}
-	if m.floor == 0 {
-		m.floor = asOf
+	if m.historyStart == 0 {
+		m.historyStart = asOf
 	}
 	m.asOf = asOf
 	return changed
 }
 
-// Since returns the objects changed and names removed after a version; ok is false if only
-// the complete list will do.
-func (m *Mirror) Since(v platform.Version) (changed []platform.Object, removed []string, ok bool) {
-	if v < m.floor || v == 0 {
+// ChangesSince returns the objects changed and the names removed after a version. ok is false if
+// the mirror does not know all removals since then, so that the complete list is needed.
+func (m *Mirror) ChangesSince(v platform.Version) (changed []platform.Object, removed []string, ok bool) {
+	if v < m.historyStart || v == 0 {
 		return nil, nil, false
 	}
 	for _, o := range m.Objects() {
@@ -82,8 +82,8 @@
 			changed = append(changed, o)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(m.removed)) {
-		if m.removed[name] > v {
+	for _, name := range slices.Sorted(maps.Keys(m.tombstones)) {
+		if m.tombstones[name] > v {
 			removed = append(removed, name)
 		}
 	}
@@ -105,18 +105,18 @@
 }
 
 func (m *Mirror) put(o platform.Object) bool {
-	if gone, ok := m.removed[o.Name]; ok && o.Version <= gone {
+	if gone, ok := m.tombstones[o.Name]; ok && o.Version <= gone {
 		return false
 	}
 	if known, ok := m.objects[o.Name]; ok && known.Version >= o.Version {
 		return false
 	}
-	delete(m.removed, o.Name)
-	m.objects[o.Name] = m.bounded(o)
+	delete(m.tombstones, o.Name)
+	m.objects[o.Name] = m.limitSize(o)
 	return true
 }
 
-func (m *Mirror) bounded(o platform.Object) platform.Object {
+func (m *Mirror) limitSize(o platform.Object) platform.Object {
 	if n := len(o.Value) + len(o.Status); n > m.maxBytes {
 		o.Value, o.Status, o.Omitted = nil, nil, n
 	}
@@ -134,9 +134,9 @@
 
 func (m *Mirror) remove(name string, at platform.Version) {
 	delete(m.objects, name)
-	if len(m.removed) >= maxRemoved {
-		clear(m.removed)
-		m.floor = at
+	if len(m.tombstones) >= maxTombstones {
+		clear(m.tombstones)
+		m.historyStart = at
 	}
-	m.removed[name] = at
+	m.tombstones[name] = at
 }
--- a/internal/discovery/mirror_test.go
+++ b/internal/discovery/mirror_test.go
@@ -31,17 +31,17 @@
 	}{
 		{"newer list", func(m *Mirror) { m.Replace([]platform.Object{object("a", 1)}, 20) }, "a", true},
 		{"older list", func(m *Mirror) { m.Replace(nil, 9) }, "ab", false},
-		{"list from before an object came to be", func(m *Mirror) {
+		{"list read before an object was created", func(m *Mirror) {
 			m.Apply([]platform.Event{{Object: object("c", 15)}}, 15)
 			m.asOf = 10 // another source is behind
 			m.Replace([]platform.Object{object("a", 1), object("b", 2)}, 12)
 		}, "abc", false},
 		{"deletion", func(m *Mirror) { m.Apply([]platform.Event{deletion("a", 11)}, 11) }, "b", true},
-		{"change that is older than a deletion", func(m *Mirror) {
+		{"change older than a deletion", func(m *Mirror) {
 			m.Apply([]platform.Event{deletion("a", 12)}, 12)
 			m.Apply([]platform.Event{{Object: object("a", 5)}}, 12)
 		}, "b", false},
-		{"name that comes back", func(m *Mirror) {
+		{"object created again after a deletion", func(m *Mirror) {
 			m.Apply([]platform.Event{deletion("a", 12)}, 12)
 			m.Apply([]platform.Event{{Object: object("a", 13)}}, 13)
 		}, "ab", true},
@@ -62,27 +62,28 @@
 	m := NewMirror(maxEntryBytes)
 	m.Replace([]platform.Object{object("a", 1), object("b", 2)}, 10)
 	m.Apply([]platform.Event{{Object: object("c", 11)}, deletion("a", 12)}, 12)
-	changed, removed, ok := m.Since(10)
+	changed, removed, ok := m.ChangesSince(10)
 	if !ok || len(changed) != 1 || changed[0].Name != "c" || len(removed) != 1 || removed[0] != "a" {
 		t.Errorf("since 10: %v %v %v", changed, removed, ok)
 	}
-	if changed, removed, ok = m.Since(12); !ok || len(changed)+len(removed) != 0 {
+	if changed, removed, ok = m.ChangesSince(12); !ok || len(changed)+len(removed) != 0 {
 		t.Errorf("since 12: %v %v %v", changed, removed, ok)
 	}
-	if _, _, ok = m.Since(9); ok {
-		t.Error("what was removed before the first list can't be told")
+	if _, _, ok = m.ChangesSince(9); ok {
+		t.Error("removals before the first list are unknown, so a list is required")
 	}
 }
 
-// A mirror that has forgotten removals must not claim to know them.
-func TestMirrorThatForgotRemovalsAsksForAList(t *testing.T) {
+// After its tombstones were discarded, a mirror must not answer with changes, which would lack the
+// removals.
+func TestMirrorRequiresListAfterTombstonesAreCleared(t *testing.T) {
 	m := NewMirror(maxEntryBytes)
 	m.Replace(nil, 1)
-	for i := range platform.Version(maxRemoved + 1) {
+	for i := range platform.Version(maxTombstones + 1) {
 		name := string(rune('a'+i%26)) + string(rune(i))
 		m.Apply([]platform.Event{{Object: object(name, 2+2*i)}, deletion(name, 3+2*i)}, 3+2*i)
 	}
-	if _, _, ok := m.Since(1); ok {
-		t.Error("removals are forgotten, yet changes since the first list are told")
+	if _, _, ok := m.ChangesSince(1); ok {
+		t.Error("got changes since the first list, although tombstones were discarded")
 	}
 }
--- a/internal/discovery/pack.go
+++ b/internal/discovery/pack.go
@@ -11,11 +11,11 @@
 	"masticturn/internal/platform"
 )
 
-// maxUnpackedBytes bounds an unpacked list.
+// maxUnpackedBytes is the limit of a decompressed list.
 const maxUnpackedBytes = 16 << 20
 
-// packObjects compresses a list. Its entries are alike, and many VMs fetch it when a fleet
-// starts.
+// packObjects encodes and compresses a list of objects. The entries are similar and compress
+// well, and many VMs fetch the list when a fleet starts.
 func packObjects(objects []platform.Object) ([]byte, error) {
 	raw, err := peer.Encode(objects)
 	if err != nil {
@@ -35,16 +35,16 @@
 	return out.Bytes(), nil
 }
 
-// unpackObjects is the inverse of packObjects, for any input.
+// unpackObjects is the inverse of packObjects. Its input is untrusted.
 func unpackObjects(packed []byte) ([]platform.Object, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
 	defer r.Close()
 	raw, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	if err != nil {
-		return nil, trace.Wrap(err, "unpack a list")
+		return nil, trace.Wrap(err, "decompress list of objects")
 	}
 	if len(raw) > maxUnpackedBytes {
-		return nil, trace.LimitExceeded("a list of more than %d bytes", maxUnpackedBytes)
+		return nil, trace.LimitExceeded("decompressed list of objects exceeds %d bytes", maxUnpackedBytes)
 	}
 	var objects []platform.Object
 	return objects, peer.Decode(raw, &objects)
--- a/internal/discovery/registrar.go
+++ b/internal/discovery/registrar.go
@@ -20,32 +20,35 @@
 // RegistrarName is the name under which the registrar is registered.
 const RegistrarName = "discovery.registrar"
 
-// registerPause is the pause between attempts to register.
-const registerPause = 500 * time.Millisecond
+// registerRetryInterval is the interval between attempts to write the entry.
+const registerRetryInterval = 500 * time.Millisecond
 
-// needPoll is the interval of checks whether the entry is needed; needTicks is how many
-// consecutive checks must say so, as leadership moves while VMs restart one by one.
+// needCheckInterval is the interval of checks whether this VM's entry is needed. minNeedChecks is
+// how many consecutive checks must agree, because the ranking of VMs changes for short times
+// during a rolling restart.
 const (
-	needPoll  = 500 * time.Millisecond
-	needTicks = 4
+	needCheckInterval = 500 * time.Millisecond
+	minNeedChecks     = 4
 )
 
-// registered is the number of entries per region. Any of them lets a new VM join.
-const registered = 3
+// entriesPerRegion is the number of VMs per region that write an entry. A new VM can join through
+// any of them.
+const entriesPerRegion = 3
 
-// Registrar writes this VM's entry, by which new VMs find the fleet. It states an address;
-// liveness is left to heartbeats. Few entries per region keep the calls of a start low.
+// Registrar writes this VM's entry, by which new VMs find the fleet. The entry only holds
+// addresses; heartbeats between VMs detect whether the VM is alive. Only a few VMs per region
+// write one, to limit the store calls when a fleet starts.
 type Registrar struct {
 	deps   RegistrarDeps
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 }
 
-// RegistrarDeps is what a Registrar needs.
+// RegistrarDeps holds the dependencies of a Registrar.
 type RegistrarDeps struct {
 	Store   platform.Store
 	Self    edge.VMRecord
-	Seeded  bool // VMs join by seeds
+	Seeded  bool // VMs join through configured seeds
 	Joined  func() bool
 	Members membership.Source
 	Logger  *telemetry.Logger
@@ -53,7 +56,7 @@
 
 var _ kernel.Service = (*Registrar)(nil)
 
-// NewRegistrar returns a registrar of a VM.
+// NewRegistrar returns a registrar that is not yet started.
 func NewRegistrar(d RegistrarDeps) *Registrar { return &Registrar{deps: d} }
 
 // Provision implements kernel.Service.
@@ -77,23 +80,24 @@
 }
 
 func (r *Registrar) run(ctx context.Context) {
-	r.awaitNeed(ctx)
+	r.waitUntilNeeded(ctx)
 	for ctx.Err() == nil {
 		err := r.register(ctx)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
 		r.deps.Logger.Log(eventRegisterFailed, telemetry.Err(err))
-		sleep(ctx, registerPause)
+		sleep(ctx, registerRetryInterval)
 	}
 }
 
-// awaitNeed waits until this VM's entry is needed: at once without seeds, else if no VM
-// answers or this VM is among the registered ones of its region.
-func (r *Registrar) awaitNeed(ctx context.Context) {
-	for needed := 0; r.deps.Seeded && needed < needTicks && ctx.Err() == nil; {
-		sleep(ctx, needPoll)
-		if !r.needed() {
+// waitUntilNeeded waits until this VM's entry is needed. Without seeds, it is needed at once. With
+// seeds, it is needed if this VM has not joined the others or is among the first entriesPerRegion
+// VMs of its region.
+func (r *Registrar) waitUntilNeeded(ctx context.Context) {
+	for needed := 0; r.deps.Seeded && needed < minNeedChecks && ctx.Err() == nil; {
+		sleep(ctx, needCheckInterval)
+		if !r.isNeeded() {
 			needed = 0
 			continue
 		}
@@ -101,17 +105,17 @@
 	}
 }
 
-func (r *Registrar) needed() bool {
+func (r *Registrar) isNeeded() bool {
 	if !r.deps.Joined() {
 		return true
 	}
 	v := r.deps.Members.View()
-	own := byRegion(v)[regionOf(v, v.Self)]
-	return slices.ContainsFunc(own[:min(registered, len(own))], func(m membership.Member) bool { return m.Name == v.Self })
+	own := liveByRegion(v)[regionOf(v, v.Self)]
+	return slices.ContainsFunc(own[:min(entriesPerRegion, len(own))], func(m membership.Member) bool { return m.Name == v.Self })
 }
 
-// register creates the entry or updates that of an earlier process. It is idempotent, so that
-// unknown outcomes are retried.
+// register creates the entry, or updates the one of an earlier process. It is idempotent, so that
+// a call with an unknown outcome can be retried.
 func (r *Registrar) register(ctx context.Context) error {
 	value, err := json.Marshal(r.deps.Self)
 	if err != nil {
--- a/internal/discovery/relay.go
+++ b/internal/discovery/relay.go
@@ -14,88 +14,90 @@
 	"masticturn/internal/rendezvous"
 )
 
-// Two watchers read the store. The leader of each region polls a watcher, and its other VMs
-// poll the leader or, in large regions, a VM that does. Other readers take over in outages.
+// VMs form a tree through which changes in the store reach them. Two watchers read the store. The
+// leader of each region polls a watcher. The other VMs of a region poll the leader or, in large
+// regions, a VM that polls it. If their sources are stale, other VMs read the store as well.
 const (
-	// fanOut is the number of VMs that poll one VM of their region.
+	// fanOut is the number of VMs of a region that poll the same VM of it.
 	fanOut = 16
-	// watchers is the number of VMs that read the store.
-	watchers = 2
-	// pollMargin is added to the stale age for a poll's timeout, so that a peer can answer that
-	// it is stale.
-	pollMargin = staleHold + 100*time.Millisecond
-	// readers is the number of VMs per region that read the store, the leader included, if their
-	// sources are stale.
-	readers = 3
-	// skipFor is how long a peer that did not answer is skipped, skipStaleFor one that is stale,
-	// skipBriefly one that had nothing for a starting VM.
-	skipFor      = time.Second
-	skipStaleFor = 500 * time.Millisecond
-	skipBriefly  = 100 * time.Millisecond
+	// watcherCount is the number of VMs that always read the store.
+	watcherCount = 2
+	// pollTimeoutMargin is the time by which a poll's timeout exceeds the age at which state becomes
+	// stale, so that a peer can still answer that its state is stale.
+	pollTimeoutMargin = stalePollHold + 100*time.Millisecond
+	// readersPerRegion is the number of VMs per region, including the leader, that read the store if
+	// their sources are stale.
+	readersPerRegion = 3
+	// skipUnresponsive is how long a peer that did not answer is not polled. skipStale applies to a
+	// peer with stale state, and skipStarting to one that had no state for a starting VM.
+	skipUnresponsive = time.Second
+	skipStale        = 500 * time.Millisecond
+	skipStarting     = 100 * time.Millisecond
 )
 
-// pollRequest requests changes of a kind (peer.KindMirrorPoll). It is answered on changes, on
-// contact with the store, or when the peer turns stale.
+// pollRequest requests the changes of a kind (peer.KindMirrorPoll). It is a long poll: the peer
+// answers when it has changes, after its next contact with the store, or when its state becomes
+// stale.
 type pollRequest struct {
 	Kind  platform.Kind
-	Since platform.Version // 0: the whole list
-	Now   bool             // answer at once, also without changes
+	Since platform.Version // 0: request the complete list
+	Now   bool             // answer at once, even without changes
 }
 
-// pollAnswer holds the changes, or the complete list.
+// pollAnswer holds the changes since the requested version, or the complete list.
 type pollAnswer struct {
-	Listed  bool // Changed is the complete list
-	Changed []platform.Object
-	Removed []string
-	AsOf    platform.Version
-	Age     time.Duration // since the last contact with the store, by any VM
-	Packed  []byte        // the objects compressed by packObjects, instead of Changed
-	// Confirmed is set if the peer can prove when its state was the store's latest: ConfirmedAt
-	// after its receipt of the poll.
+	Complete bool // the answer is the complete list
+	Changed  []platform.Object
+	Removed  []string
+	AsOf     platform.Version
+	Age      time.Duration // time since the last contact with the store, by any VM on the path
+	Packed   []byte        // complete list compressed by packObjects, instead of Changed
+	// Confirmed is set if the peer knows a time at which its state was the store's latest.
+	// ConfirmedAt is that time relative to the peer's receipt of the poll.
 	Confirmed   bool
 	ConfirmedAt time.Duration
 }
 
-// sources are the peers from which a VM receives the store's state.
+// sources lists the peers from which a VM receives the store's state.
 type sources struct {
-	vms     []string // by preference; none: the VM reads the store itself
-	reader  bool     // the VM reads the store if all of vms are stale
-	others  []string // all other VMs, which are polled at random in an outage
-	members int      // size of the fleet
+	preferred []string // most preferred first; if empty, the VM reads the store itself
+	isReader  bool     // the VM reads the store if its sources are stale
+	others    []string // all other live VMs, which are polled at random during an outage
+	fleetSize int      // number of members, including this VM
 }
 
-// sourcesOf returns the sources of a view's VM. All VMs with the same view derive the same
-// acyclic tree.
-func sourcesOf(v *membership.View) sources {
-	regions := byRegion(v)
-	order := leaders(regions)
+// sourcesFor returns the sources of the VM that owns the view. All VMs with the same members derive
+// the same tree, without cycles.
+func sourcesFor(v *membership.View) sources {
+	regions := liveByRegion(v)
+	ranked := rankedLeaders(regions)
 	own := regions[regionOf(v, v.Self)]
-	at := slices.IndexFunc(own, func(m membership.Member) bool { return m.Name == v.Self })
-	w := sources{reader: at < readers, members: len(v.Members)}
-	if at < 0 {
-		return w // it is leaving
+	rank := slices.IndexFunc(own, func(m membership.Member) bool { return m.Name == v.Self })
+	s := sources{isReader: rank < readersPerRegion, fleetSize: len(v.Members)}
+	if rank < 0 {
+		return s // this VM is not alive, for example leaving
 	}
 	for _, m := range v.Members {
 		if m.State == membership.Alive && m.Name != v.Self {
-			w.others = append(w.others, m.Name)
+			s.others = append(s.others, m.Name)
 		}
 	}
-	if at > 0 {
-		w.vms = append(w.vms, own[(at-1)/fanOut].Name)
+	if rank > 0 {
+		s.preferred = append(s.preferred, own[(rank-1)/fanOut].Name)
 	}
-	for _, m := range own[:min(at, readers)] {
-		w.vms = appendNew(w.vms, m.Name)
+	for _, m := range own[:min(rank, readersPerRegion)] {
+		s.preferred = appendUnique(s.preferred, m.Name)
 	}
-	for _, leader := range order[:min(watchers, len(order))] {
+	for _, leader := range ranked[:min(watcherCount, len(ranked))] {
 		if leader.Name == v.Self {
-			return sources{reader: true, others: w.others, members: w.members}
+			return sources{isReader: true, others: s.others, fleetSize: s.fleetSize}
 		}
-		w.vms = appendNew(w.vms, leader.Name)
+		s.preferred = appendUnique(s.preferred, leader.Name)
 	}
-	return w
+	return s
 }
 
-func appendNew(names []string, name string) []string {
+func appendUnique(names []string, name string) []string {
 	if slices.Contains(names, name) {
 		return names
 	}
@@ -109,8 +111,8 @@
 
 func memberName(m membership.Member) string { return m.Name }
 
-// byRegion returns the live members by region, in an order common to all VMs.
-func byRegion(v *membership.View) map[string][]membership.Member {
+// liveByRegion returns the live members of each region, in an order that is the same on all VMs.
+func liveByRegion(v *membership.View) map[string][]membership.Member {
 	regions := make(map[string][]membership.Member)
 	for _, m := range v.Members {
 		if m.State == membership.Alive {
@@ -123,8 +125,8 @@
 	return regions
 }
 
-// leaders returns the first VM of each region, the watchers first.
-func leaders(regions map[string][]membership.Member) []membership.Member {
+// rankedLeaders returns the leader of each region. The first watcherCount of them are the watchers.
+func rankedLeaders(regions map[string][]membership.Member) []membership.Member {
 	var out []membership.Member
 	for _, members := range regions {
 		out = append(out, members[0])
@@ -132,43 +134,43 @@
 	return rendezvous.Top("watchers", out, len(out), func(m membership.Member) string { return m.Region })
 }
 
-// Answers of peers without current state.
+// Errors of polls whose answer holds no current state.
 var (
 	errStale    = errors.New("the peer's state is stale")
 	errStarting = errors.New("the peer is starting and has no state")
 )
 
-// relaySource polls a peer.
-type relaySource struct {
+// peerSource polls a peer.
+type peerSource struct {
 	network peer.Network
 	vm      string
 	timeout time.Duration
 }
 
-// poll makes one poll. The age of the answer is that of its content.
-func (r relaySource) poll(ctx context.Context, request *pollRequest) (*pollAnswer, error) {
+// poll sends one poll and waits for the answer.
+func (s peerSource) poll(ctx context.Context, request *pollRequest) (*pollAnswer, error) {
 	kind := request.Kind
-	ctx, cancel := context.WithTimeout(ctx, r.timeout)
+	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	var a pollAnswer
-	err := r.network.Call(ctx, r.vm, peer.KindMirrorPoll, request, &a)
+	err := s.network.Call(ctx, s.vm, peer.KindMirrorPoll, request, &a)
 	if err != nil {
-		return nil, trace.Wrap(err, "poll %s from %s", kind, r.vm)
+		return nil, trace.Wrap(err, "poll %s from %s", kind, s.vm)
 	}
 	if a.Packed == nil {
 		return &a, nil
 	}
 	a.Changed, err = unpackObjects(a.Packed)
-	return &a, trace.Wrap(err, "poll %s from %s", kind, r.vm)
+	return &a, trace.Wrap(err, "poll %s from %s", kind, s.vm)
 }
 
-// change converts the answer to a poll that was sent at a time on the boot clock. The peer received
-// it later, which makes the confirmation a lower bound.
-func (a *pollAnswer) change(kind platform.Kind, sent time.Duration) change {
-	c := change{kind: kind, listed: a.Listed, asOf: a.AsOf, age: a.Age}
-	c.confirmed = confirmation{known: a.Confirmed, at: sent}.after(a.ConfirmedAt)
-	if a.Listed {
-		c.list = a.Changed
+// toChange converts the answer to a poll that was sent at the given time on this VM's boot clock.
+// The peer received the poll later, so the resulting confirmation is a lower bound.
+func (a *pollAnswer) toChange(kind platform.Kind, sent time.Duration) change {
+	c := change{kind: kind, complete: a.Complete, asOf: a.AsOf, age: a.Age}
+	c.confirmed = confirmation{known: a.Confirmed, at: sent}.add(a.ConfirmedAt)
+	if a.Complete {
+		c.objects = a.Changed
 		return c
 	}
 	for _, o := range a.Changed {
--- a/internal/discovery/service.go
+++ b/internal/discovery/service.go
@@ -24,17 +24,17 @@
 // ServiceName is the name under which the service is registered.
 const ServiceName = "discovery"
 
-// expireInterval is the interval of checks for missing targets to drop.
+// expireInterval is the interval of checks for missing targets whose grace period is over.
 const expireInterval = 200 * time.Millisecond
 
-// staleHold is how long a stale VM holds a poll, which may end the staleness and spaces the
-// polls.
-const staleHold = 100 * time.Millisecond
+// stalePollHold is how long a VM with stale state holds a poll before it answers. Its state may
+// become fresh in that time, and the delay limits the rate of polls.
+const stalePollHold = 100 * time.Millisecond
 
-// maxEntryBytes bounds the entries of targets and evacuated zones.
+// maxEntryBytes is the size limit of entries of targets and evacuated zones.
 const maxEntryBytes = 4 << 10
 
-// maxObjectBytes returns the limit of each kind's objects.
+// maxObjectBytes returns the size limit of the objects of each kind.
 func maxObjectBytes(kinds Kinds) map[platform.Kind]int {
 	return map[platform.Kind]int{
 		kinds.Document:    platform.MaxValueBytes,
@@ -43,52 +43,52 @@
 	}
 }
 
-// Deps is what a Service needs.
+// Deps holds the dependencies of a Service.
 type Deps struct {
 	Store   platform.Store
 	Decoder Decoder
 	Members membership.Source
 	Network peer.Network
-	// Joined reports whether this VM has joined the others, or is alone.
+	// Joined reports whether this VM has joined the fleet or is its only VM.
 	Joined func() bool
-	// FirstStart is set if the whole fleet starts for the first time.
+	// FirstStart is set if the whole fleet is being started for the first time.
 	FirstStart bool
-	Places     map[string]string // availability zone to region
+	Places     map[string]string // region of each availability zone
 	Bounds     settings.Bounds
-	// Shares returns the limits of the fleet and this VM's share of the retry budget, which are
-	// not part of the stored document.
+	// Shares returns the fleet's limits and this VM's share of the retry budget. Neither is part
+	// of the stored document.
 	Shares  func() (config.Fleet, config.Retry)
 	Clock   kernel.Clock
-	Boot    kernel.BootClock // nil: the machine is never suspended
+	Boot    kernel.BootClock // nil: assume that the machine is never suspended
 	Logger  *telemetry.Logger
 	Metrics *metrics.Set
 }
 
 // Service mirrors the store and publishes views.
 type Service struct {
-	deps    Deps
-	timings map[platform.Kind]Timing
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
-	stopped chan struct{} // closed by Stop
-	missing chan struct{} // signals missing targets
-	backoff outageBackoff // of calls to the store
-
-	mu          sync.Mutex // guards all below and orders publication
-	catalog     *catalog
-	mirrors     map[platform.Kind]*Mirror
-	lastContact map[platform.Kind]time.Time     // with the store, by kind
-	news        map[platform.Kind]chan struct{} // closed and replaced on contact with the store
-	packed      map[platform.Kind]packedList    // compressed lists
-	subs        map[int]func(*View)
-	nextSub     int
+	deps          Deps
+	timings       map[platform.Kind]Timing
+	cancel        context.CancelFunc
+	wg            sync.WaitGroup
+	stopped       chan struct{} // closed by Stop
+	missingSignal chan struct{} // wakes expireMissing; capacity 1
+	backoff       outageBackoff // limits store calls during an outage
+
+	mu            sync.Mutex // guards the fields below and serializes publication
+	catalog       *catalog
+	mirrors       map[platform.Kind]*Mirror
+	lastContact   map[platform.Kind]time.Time     // time of the last contact with the store
+	contactSignal map[platform.Kind]chan struct{} // closed and replaced on contact with the store
+	packed        map[platform.Kind]packedList    // cached compressed lists
+	subs          map[int]func(*View)
+	nextSub       int
 
 	view          atomic.Pointer[View]
-	confirmed     map[platform.Kind]*confirmations
+	confirmed     map[platform.Kind]*confirmationTracker
 	cachedSources atomic.Pointer[viewSources]
 }
 
-// viewSources are the sources derived from one member view.
+// viewSources caches the sources derived from one member view.
 type viewSources struct {
 	view *membership.View
 	sources
@@ -99,28 +99,28 @@
 	_ config.Source  = (*Service)(nil)
 )
 
-// NewService returns a service without a view.
+// NewService returns a service that has no view yet.
 func NewService(d Deps) *Service {
 	if d.Boot == nil {
 		d.Boot = kernel.NewMonotonicBootClock()
 	}
 	s := &Service{
-		deps:        d,
-		timings:     Timings(d.Decoder.Kinds(), d.Bounds),
-		catalog:     newCatalog(d.Decoder, d.Places),
-		mirrors:     make(map[platform.Kind]*Mirror),
-		lastContact: make(map[platform.Kind]time.Time),
-		news:        make(map[platform.Kind]chan struct{}),
-		packed:      make(map[platform.Kind]packedList),
-		subs:        make(map[int]func(*View)),
-		stopped:     make(chan struct{}),
-		missing:     make(chan struct{}, 1),
-		confirmed:   make(map[platform.Kind]*confirmations),
+		deps:          d,
+		timings:       Timings(d.Decoder.Kinds(), d.Bounds),
+		catalog:       newCatalog(d.Decoder, d.Places),
+		mirrors:       make(map[platform.Kind]*Mirror),
+		lastContact:   make(map[platform.Kind]time.Time),
+		contactSignal: make(map[platform.Kind]chan struct{}),
+		packed:        make(map[platform.Kind]packedList),
+		subs:          make(map[int]func(*View)),
+		stopped:       make(chan struct{}),
+		missingSignal: make(chan struct{}, 1),
+		confirmed:     make(map[platform.Kind]*confirmationTracker),
 	}
-	for kind, most := range maxObjectBytes(d.Decoder.Kinds()) {
-		s.mirrors[kind] = NewMirror(most)
-		s.news[kind] = make(chan struct{})
-		s.confirmed[kind] = &confirmations{boot: d.Boot}
+	for kind, limit := range maxObjectBytes(d.Decoder.Kinds()) {
+		s.mirrors[kind] = NewMirror(limit)
+		s.contactSignal[kind] = make(chan struct{})
+		s.confirmed[kind] = &confirmationTracker{boot: d.Boot}
 	}
 	d.Network.Handle(peer.KindMirrorPoll, s.answerPoll)
 	return s
@@ -134,13 +134,15 @@
 	ctx, s.cancel = context.WithCancel(ctx)
 	for kind := range s.mirrors {
 		w := &watcher{
-			kind:    kind,
-			stale:   s.staleAfter(kind),
-			store:   s.deps.Store,
-			backoff: &s.backoff,
-			joined:  s.deps.Joined,
-			sources: s.currentSources,
-			relay:   func(vm string) relaySource { return relaySource{s.deps.Network, vm, s.staleAfter(kind) + pollMargin} },
+			kind:       kind,
+			staleAfter: s.staleAfter(kind),
+			store:      s.deps.Store,
+			backoff:    &s.backoff,
+			joined:     s.deps.Joined,
+			sources:    s.currentSources,
+			sourceOf: func(vm string) peerSource {
+				return peerSource{s.deps.Network, vm, s.staleAfter(kind) + pollTimeoutMargin}
+			},
 			clock:   s.deps.Clock,
 			boot:    s.deps.Boot,
 			logger:  s.deps.Logger,
@@ -152,22 +154,22 @@
 		}
 		s.wg.Go(func() { w.run(ctx) })
 	}
-	s.wg.Go(func() { s.expire(ctx) })
+	s.wg.Go(func() { s.expireMissing(ctx) })
 	return nil
 }
 
-// currentSources returns this VM's sources, computed once per member view.
+// currentSources returns this VM's sources. They are computed once per member view.
 func (s *Service) currentSources() sources {
 	view := s.deps.Members.View()
-	if w := s.cachedSources.Load(); w != nil && w.view == view {
-		return w.sources
+	if cached := s.cachedSources.Load(); cached != nil && cached.view == view {
+		return cached.sources
 	}
-	w := &viewSources{view, sourcesOf(view)}
-	s.cachedSources.Store(w)
-	return w.sources
+	computed := &viewSources{view, sourcesFor(view)}
+	s.cachedSources.Store(computed)
+	return computed.sources
 }
 
-// Drain implements kernel.Service. Requests in flight still need views.
+// Drain implements kernel.Service. It does nothing, as requests in flight still need views.
 func (s *Service) Drain(context.Context) error { return nil }
 
 // Stop implements kernel.Service.
@@ -178,11 +180,11 @@
 	return nil
 }
 
-// View returns the current view; nil before the first.
+// View returns the current view, or nil before the first one.
 func (s *Service) View() *View { return s.view.Load() }
 
-// DocumentAge returns the greatest age that the document of a later call of Current may have: all
-// documents that the store had acknowledged by then are known.
+// DocumentAge returns an upper bound on the age of the document that a later call of Current
+// returns. The VM knows every document that the store had acknowledged before that time.
 func (s *Service) DocumentAge() time.Duration {
 	return s.confirmed[s.deps.Decoder.Kinds().Document].age()
 }
@@ -220,47 +222,47 @@
 	defer s.mu.Unlock()
 	now := s.deps.Clock.Now()
 	s.recordContact(c.kind, now.Add(-c.age))
-	if c.regained && c.kind == s.deps.Decoder.Kinds().Targets {
-		s.catalog.regained = now
+	if c.endsOutage && c.kind == s.deps.Decoder.Kinds().Targets {
+		s.catalog.outageEnd = now
 	}
-	if s.mirror(c) || s.firstList(c) {
+	if s.updateMirror(c) || s.isFirstList(c) {
 		s.applyMirror(c.kind, s.mirrors[c.kind], now)
 		s.publish()
 	}
 	s.confirmed[c.kind].record(c.confirmed)
-	if s.catalog.missing() {
+	if s.catalog.hasMissing() {
 		select {
-		case s.missing <- struct{}{}:
+		case s.missingSignal <- struct{}{}:
 		default: // already signalled
 		}
 	}
 }
 
-// mirror updates a kind's mirror. It reports whether it changed.
-func (s *Service) mirror(c change) bool {
-	if c.listed {
-		return s.mirrors[c.kind].Replace(c.list, c.asOf)
+// updateMirror applies a change to the mirror of its kind. It reports whether the mirror changed.
+func (s *Service) updateMirror(c change) bool {
+	if c.complete {
+		return s.mirrors[c.kind].Replace(c.objects, c.asOf)
 	}
 	return s.mirrors[c.kind].Apply(c.events, c.asOf)
 }
 
-// firstList reports whether the change is the first complete list of its kind, which matters
-// even if it is empty.
-func (s *Service) firstList(c change) bool { return c.listed && !s.catalog.listed[c.kind] }
+// isFirstList reports whether the change is the first complete list of its kind. Views depend on
+// it even if it is empty.
+func (s *Service) isFirstList(c change) bool { return c.complete && !s.catalog.listed[c.kind] }
 
-// staleAfter returns the age from which state of a kind is stale.
+// staleAfter returns the age above which the state of a kind is stale.
 func (s *Service) staleAfter(kind platform.Kind) time.Duration { return s.timings[kind].Stale }
 
-// recordContact records contact with the store and answers waiting polls.
+// recordContact records contact with the store and wakes the waiting polls of peers.
 func (s *Service) recordContact(kind platform.Kind, at time.Time) {
 	if at.After(s.lastContact[kind]) {
 		s.lastContact[kind] = at
 	}
-	close(s.news[kind])
-	s.news[kind] = make(chan struct{})
+	close(s.contactSignal[kind])
+	s.contactSignal[kind] = make(chan struct{})
 }
 
-// applyMirror updates the catalog from a changed mirror.
+// applyMirror updates the catalog from a changed mirror and logs what changed.
 func (s *Service) applyMirror(kind platform.Kind, m *Mirror, now time.Time) {
 	version := telemetry.Value("version", uint64(m.AsOf()))
 	defer func() { s.catalog.listed[kind] = true }()
@@ -268,48 +270,48 @@
 	case kinds.Document:
 		adopted, err := s.catalog.setDocument(m)
 		if err != nil {
-			s.unreadable(kind).Inc()
-			s.deps.Logger.Log(eventDocumentBad, version, telemetry.Err(err))
+			s.unreadableCounter(kind).Inc()
+			s.deps.Logger.Log(eventDocumentInvalid, version, telemetry.Err(err))
 		}
 		if adopted {
-			s.deps.Logger.Log(eventDocument, version, telemetry.GenerationOf(uint64(s.catalog.gen)))
+			s.deps.Logger.Log(eventDocumentInForce, version, telemetry.GenerationOf(uint64(s.catalog.gen)))
 		}
 	case kinds.Evacuations:
 		for _, zone := range s.catalog.setZones(m, now) {
-			s.deps.Logger.Log(eventZoneUnknown, version, telemetry.Value("zone", zone))
+			s.deps.Logger.Log(eventUnknownZone, version, telemetry.Value("zone", zone))
 		}
-		s.deps.Logger.Log(eventZones, version, telemetry.Value("zones", strings.Join(slices.Sorted(maps.Keys(s.catalog.zones)), ",")))
+		s.deps.Logger.Log(eventZonesEvacuated, version, telemetry.Value("zones", strings.Join(slices.Sorted(maps.Keys(s.catalog.evacuated)), ",")))
 	case kinds.Targets:
 		before := s.catalog.states()
-		for _, f := range s.catalog.setTargets(m, now) {
-			s.unreadable(kind).Inc()
-			s.deps.Logger.Log(eventTargetBad, version, telemetry.Peer(f.name), telemetry.Err(f.err))
+		for _, entry := range s.catalog.setTargets(m, now) {
+			s.unreadableCounter(kind).Inc()
+			s.deps.Logger.Log(eventTargetInvalid, version, telemetry.Peer(entry.name), telemetry.Err(entry.err))
 		}
 		s.logTargets(before, version)
 	}
 }
 
-// unreadable counts invalid objects.
-func (s *Service) unreadable(kind platform.Kind) *metrics.Counter {
+// unreadableCounter returns the counter of invalid objects of a kind.
+func (s *Service) unreadableCounter(kind platform.Kind) *metrics.Counter {
 	return s.deps.Metrics.GetOrCreateCounter(fmt.Sprintf("masticturn_objects_unreadable_total{kind=%q}", string(kind)))
 }
 
-// logTargets logs changed targets.
+// logTargets logs the targets whose state changed.
 func (s *Service) logTargets(before map[string]string, version telemetry.Field) {
 	after := s.catalog.states()
 	for name, state := range after {
 		if before[name] != state {
-			s.deps.Logger.Log(eventTarget, version, telemetry.Peer(name), telemetry.Value("state", state))
+			s.deps.Logger.Log(eventTargetChanged, version, telemetry.Peer(name), telemetry.Value("state", state))
 		}
 	}
 	for name := range before {
 		if _, ok := after[name]; !ok {
-			s.deps.Logger.Log(eventTarget, version, telemetry.Peer(name), telemetry.Value("state", "gone"))
+			s.deps.Logger.Log(eventTargetChanged, version, telemetry.Peer(name), telemetry.Value("state", "gone"))
 		}
 	}
 }
 
-// publish hands a new view to the subscribers.
+// publish stores a new view and passes it to the subscribers. s.mu is held.
 func (s *Service) publish() {
 	v := s.catalog.view(s.deps.Shares)
 	if v == nil {
@@ -321,11 +323,12 @@
 	}
 }
 
-// expire drops missing targets after rejoinGrace. It runs only while some are missing.
-func (s *Service) expire(ctx context.Context) {
+// expireMissing drops missing targets after rejoinGrace. It checks periodically only while there are
+// missing targets.
+func (s *Service) expireMissing(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
-		case <-s.missing:
+		case <-s.missingSignal:
 		case <-ctx.Done():
 			return
 		}
@@ -335,17 +338,17 @@
 	}
 }
 
-// expireOnce drops missing targets that are due. It reports whether others remain.
+// expireOnce drops the missing targets whose grace period is over. It reports whether others remain.
 func (s *Service) expireOnce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.catalog.missing() {
+	if !s.catalog.hasMissing() {
 		return false
 	}
 	before := s.catalog.states()
-	if s.catalog.expire(s.deps.Clock.Now()) {
-		s.logTargets(before, telemetry.Value("cause", "did not come back after the outage"))
+	if s.catalog.expireMissing(s.deps.Clock.Now()) {
+		s.logTargets(before, telemetry.Value("cause", "did not register again after the outage"))
 		s.publish()
 	}
-	return s.catalog.missing()
+	return s.catalog.hasMissing()
 }
--- a/internal/discovery/serving.go
+++ b/internal/discovery/serving.go
@@ -10,8 +10,8 @@
 	"masticturn/internal/platform"
 )
 
-// answerPoll answers a peer's poll: at once if there are changes, else on the next contact with
-// the store.
+// answerPoll answers a peer's poll: at once if there are changes, else after the next contact with
+// the store or a timeout.
 func (s *Service) answerPoll(ctx context.Context, _ string, payload []byte) (any, error) {
 	var r pollRequest
 	if err := peer.Decode(payload, &r); err != nil {
@@ -21,11 +21,11 @@
 	if s.mirrors[r.Kind] == nil {
 		return nil, trace.NotFound("kind %s is not mirrored", r.Kind)
 	}
-	if news, patience := s.pollWait(&r); patience > 0 {
-		timer := time.NewTimer(patience)
+	if contact, timeout := s.pollWait(&r); timeout > 0 {
+		timer := time.NewTimer(timeout)
 		defer timer.Stop()
 		select {
-		case <-news: // possibly without changes
+		case <-contact: // there may still be no changes
 		case <-timer.C:
 		case <-s.stopped:
 		case <-ctx.Done():
@@ -34,11 +34,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answer(s.mirrors[r.Kind], &r, received)
+	return s.buildAnswer(s.mirrors[r.Kind], &r, received)
 }
 
-// pollWait returns what a poll without changes waits for, and how long at most; 0: answer now.
-func (s *Service) pollWait(r *pollRequest) (news <-chan struct{}, patience time.Duration) {
+// pollWait returns the channel that is closed on the next contact with the store, and how long a
+// poll waits for it at most. A timeout of 0 means to answer at once.
+func (s *Service) pollWait(r *pollRequest) (contact <-chan struct{}, timeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if asOf := s.mirrors[r.Kind].AsOf(); r.Now || asOf > r.Since {
@@ -48,36 +49,37 @@
 		if !s.deps.FirstStart {
 			return nil, 0
 		}
-		return s.news[r.Kind], s.staleAfter(r.Kind)
+		return s.contactSignal[r.Kind], s.staleAfter(r.Kind)
 	}
 	age := s.deps.Clock.Now().Sub(s.lastContact[r.Kind])
-	return s.news[r.Kind], max(s.staleAfter(r.Kind)-age+time.Millisecond, staleHold)
+	return s.contactSignal[r.Kind], max(s.staleAfter(r.Kind)-age+time.Millisecond, stalePollHold)
 }
 
-// answer returns the changes for a poll that was received at a time on the boot clock; s.mu is held.
-func (s *Service) answer(m *Mirror, r *pollRequest, received time.Duration) (*pollAnswer, error) {
+// buildAnswer returns the answer to a poll that was received at the given time on the boot clock.
+// s.mu is held.
+func (s *Service) buildAnswer(m *Mirror, r *pollRequest, received time.Duration) (*pollAnswer, error) {
 	a := &pollAnswer{AsOf: m.AsOf(), Age: s.deps.Clock.Now().Sub(s.lastContact[r.Kind])}
 	a.Confirmed, a.ConfirmedAt = s.confirmed[r.Kind].sinceReceipt(received)
-	changed, removed, ok := m.Since(r.Since)
+	changed, removed, ok := m.ChangesSince(r.Since)
 	if ok {
 		a.Changed, a.Removed = changed, removed
 		return a, nil
 	}
-	a.Listed = true
+	a.Complete = true
 	var err error
-	a.Packed, err = s.pack(r.Kind, m)
+	a.Packed, err = s.packedObjects(r.Kind, m)
 	return a, err
 }
 
-// packedList is a compressed complete list.
+// packedList is a compressed complete list as of a version.
 type packedList struct {
 	asOf  platform.Version
 	bytes []byte
 }
 
-// pack returns a kind's compressed list, cached as many VMs fetch it when a fleet starts; s.mu
-// is held.
-func (s *Service) pack(kind platform.Kind, m *Mirror) ([]byte, error) {
+// packedObjects returns the compressed list of a kind. The list is cached because many VMs fetch it
+// when a fleet starts. s.mu is held.
+func (s *Service) packedObjects(kind platform.Kind, m *Mirror) ([]byte, error) {
 	if p := s.packed[kind]; p.bytes != nil && p.asOf == m.AsOf() {
 		return p.bytes, nil
 	}
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -10,185 +10,185 @@
 	"masticturn/internal/platform"
 )
 
-// names returns the view's targets by id.
-func (w *world) names() map[string]string {
+// names returns the names of the view's targets by instance id.
+func (f *catalogFixture) names() map[string]string {
 	out := make(map[string]string)
-	for _, t := range w.b.view(noShares).Snapshot.Services()[0].AllTargets {
+	for _, t := range f.catalog.view(noShares).Snapshot.Services()[0].AllTargets {
 		out[t.Instance] = t.Name
 	}
 	return out
 }
 
-// put writes bytes as an entry and returns the faults found.
-func (w *world) put(name, value string) []entryFault {
-	w.version++
-	w.targets.Apply([]platform.Event{{Object: platform.Object{Name: name, Version: w.version, Value: []byte(value)}}}, w.version)
-	return w.b.setTargets(w.targets, w.now)
+// put writes an entry and returns the invalid ones that were found.
+func (f *catalogFixture) put(name, value string) []invalidEntry {
+	f.version++
+	f.targets.Apply([]platform.Event{{Object: platform.Object{Name: name, Version: f.version, Value: []byte(value)}}}, f.version)
+	return f.catalog.setTargets(f.targets, f.now)
 }
 
-// A restarted target shares no state with the start before.
-func TestStartAgainUnderTheSameID(t *testing.T) {
-	w := newWorld(t)
-	w.report("a", Target{Born: 1000, Leaving: true})
-	w.now = w.now.Add(time.Minute)
-	first := w.names()["a"]
-	w.report("a", Target{Born: 2000})
-	if w.names()["a"] == first {
-		t.Errorf("both starts are named %s", first)
+// A restarted target must not share state with its previous start.
+func TestRestartUnderTheSameID(t *testing.T) {
+	f := newCatalogFixture(t)
+	f.report("a", Target{Born: 1000, Leaving: true})
+	f.now = f.now.Add(time.Minute)
+	first := f.names()["a"]
+	f.report("a", Target{Born: 2000})
+	if f.names()["a"] == first {
+		t.Errorf("both starts have the name %s", first)
 	}
-	if w.b.targets["a"].Leaving {
-		t.Error("the new start leaves as the old one did")
+	if f.catalog.targets["a"].Leaving {
+		t.Error("the new start is leaving like the previous one")
 	}
-	if !w.cold("a") {
-		t.Error("a start that is heard of while this VM watches is cold")
+	if !f.cold("a") {
+		t.Error("a target that starts while this VM watches must be cold")
 	}
-	if got := w.b.view(noShares).ColdUntil[w.names()["a"]]; got.IsZero() {
-		t.Error("the view does not tell that the new start is cold")
+	if got := f.catalog.view(noShares).ColdUntil[f.names()["a"]]; got.IsZero() {
+		t.Error("the view does not mark the new start as cold")
 	}
 }
 
 func TestOlderStartNeverReplacesANewerOne(t *testing.T) {
-	w := newWorld(t)
-	w.report("a", Target{Born: 2000})
-	want := w.names()["a"]
-	w.report("a", Target{Born: 1000, Leaving: true})
-	if w.names()["a"] != want || w.b.targets["a"].Leaving {
-		t.Errorf("an older start is believed: %v", w.b.states())
-	}
-	w.remove("a")
-	w.report("a", Target{Born: 1000})
-	if len(w.names()) != 0 {
-		t.Errorf("an older start is believed after the newer one is gone: %v", w.b.states())
-	}
-	w.report("a", Target{Born: 2000})
-	if w.names()["a"] != want {
-		t.Errorf("the newer start is not believed again: %v", w.b.states())
+	f := newCatalogFixture(t)
+	f.report("a", Target{Born: 2000})
+	want := f.names()["a"]
+	f.report("a", Target{Born: 1000, Leaving: true})
+	if f.names()["a"] != want || f.catalog.targets["a"].Leaving {
+		t.Errorf("an older start replaced a newer one: %v", f.catalog.states())
+	}
+	f.remove("a")
+	f.report("a", Target{Born: 1000})
+	if len(f.names()) != 0 {
+		t.Errorf("an older start was accepted after the newer one was removed: %v", f.catalog.states())
+	}
+	f.report("a", Target{Born: 2000})
+	if f.names()["a"] != want {
+		t.Errorf("the newer start was not accepted again: %v", f.catalog.states())
 	}
 }
 
-// A repeated entry changes nothing.
+// A further report of a known start must not make the target cold again.
 func TestRepeatedStartChangesNothing(t *testing.T) {
-	w := newWorld(t)
-	w.report("a", Target{Born: 1000})
-	w.now = w.now.Add(time.Minute)
-	w.report("a", Target{Born: 1000, Sequence: 2})
-	if w.cold("a") {
-		t.Error("a start that was heard of before is cold again")
+	f := newCatalogFixture(t)
+	f.report("a", Target{Born: 1000})
+	f.now = f.now.Add(time.Minute)
+	f.report("a", Target{Born: 1000, Sequence: 2})
+	if f.cold("a") {
+		t.Error("a known start is cold again")
 	}
 }
 
-// An overtaken report does not revert a later one of the same start; sequences restart with
-// each start.
+// A report that arrives after a later one of the same start must not revert it. Sequence numbers
+// restart with each start.
 func TestReportsOfOneStartAreInOrder(t *testing.T) {
-	w := newWorld(t)
-	w.report("a", Target{Born: 1000, Sequence: 7, Leaving: true})
-	w.report("a", Target{Born: 1000, Sequence: 6})
-	if !w.b.targets["a"].Leaving {
-		t.Error("an overtaken report takes back that the target leaves")
-	}
-	w.report("a", Target{Born: 2000, Sequence: 1})
-	if w.b.targets["a"].Leaving {
-		t.Error("the counts of the start before bind the new one")
-	}
-	w.now = w.now.Add(lateReports + time.Second)
-	w.report("a", Target{Born: 2000, Sequence: 0, Leaving: true})
-	if !w.b.targets["a"].Leaving {
-		t.Error("a report that was not overtaken lately is passed over")
-	}
-	// Without a start, the id is the name.
-	w.report("b", Target{Sequence: 7, Leaving: true})
-	w.report("b", Target{Sequence: 1})
-	if w.b.targets["b"].Leaving || w.names()["b"] != "b" {
-		t.Errorf("believed: %v", w.b.states())
+	f := newCatalogFixture(t)
+	f.report("a", Target{Born: 1000, Sequence: 7, Leaving: true})
+	f.report("a", Target{Born: 1000, Sequence: 6})
+	if !f.catalog.targets["a"].Leaving {
+		t.Error("an older report reverted that the target is leaving")
+	}
+	f.report("a", Target{Born: 2000, Sequence: 1})
+	if f.catalog.targets["a"].Leaving {
+		t.Error("the sequence numbers of the previous start apply to the new one")
+	}
+	f.now = f.now.Add(reportReorderWindow + time.Second)
+	f.report("a", Target{Born: 2000, Sequence: 0, Leaving: true})
+	if !f.catalog.targets["a"].Leaving {
+		t.Error("a report with a lower sequence number is ignored after the reorder window")
+	}
+	// Without a start time, the name is the id, and sequence numbers are ignored.
+	f.report("b", Target{Sequence: 7, Leaving: true})
+	f.report("b", Target{Sequence: 1})
+	if f.catalog.targets["b"].Leaving || f.names()["b"] != "b" {
+		t.Errorf("targets: %v", f.catalog.states())
 	}
 }
 
-func TestEntryThatNamesNoTarget(t *testing.T) {
+func TestInvalidEntries(t *testing.T) {
 	good := `{"Service":"svc","Zone":"z1","Slots":1,"Address":"10.0.0.1:80","Born":5}`
 	swap := func(from, to string) string { return strings.Replace(good, from, to, 1) }
 	tests := map[string]string{
-		"bytes":             "\x00{",
-		"unknown zone":      swap("z1", "z9"),
-		"no slots":          swap(`"Slots":1`, `"Slots":0`),
-		"too many slots":    swap(`"Slots":1`, `"Slots":70000`),
-		"long cold":         swap(`"Slots":1`, `"Slots":1,"Cold":7200000000000`),
-		"no address":        swap("10.0.0.1:80", ""),
-		"a host name":       swap("10.0.0.1:80", "host:80"),
-		"port 0":            swap("10.0.0.1:80", "10.0.0.1:0"),
-		"large port":        swap("10.0.0.1:80", "10.0.0.1:80000"),
-		"no start any more": swap(`,"Born":5`, ""),
+		"bytes":              "\x00{",
+		"unknown zone":       swap("z1", "z9"),
+		"no slots":           swap(`"Slots":1`, `"Slots":0`),
+		"too many slots":     swap(`"Slots":1`, `"Slots":70000`),
+		"long cold":          swap(`"Slots":1`, `"Slots":1,"Cold":7200000000000`),
+		"no address":         swap("10.0.0.1:80", ""),
+		"a host name":        swap("10.0.0.1:80", "host:80"),
+		"port 0":             swap("10.0.0.1:80", "10.0.0.1:0"),
+		"large port":         swap("10.0.0.1:80", "10.0.0.1:80000"),
+		"start time removed": swap(`,"Born":5`, ""),
 	}
 	for name, bad := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, "other")
-			if faults := w.put("a", good); faults != nil {
-				t.Fatal(faults)
+			f := newCatalogFixture(t, "other")
+			if invalid := f.put("a", good); invalid != nil {
+				t.Fatal(invalid)
 			}
-			w.now = w.now.Add(time.Minute)
-			faults := w.put("a", bad)
-			if len(faults) != 1 || faults[0].name != "a" {
-				t.Errorf("faults %v", faults)
+			f.now = f.now.Add(time.Minute)
+			invalid := f.put("a", bad)
+			if len(invalid) != 1 || invalid[0].name != "a" {
+				t.Errorf("invalid %v", invalid)
 			}
-			if names := w.names(); len(names) != 1 || names["other"] == "" {
-				t.Errorf("targets %v, want the other one only", names)
+			if names := f.names(); len(names) != 1 || names["other"] == "" {
+				t.Errorf("targets %v, want only the other one", names)
 			}
-			// Faults are reported once per change.
-			w.report("other", Target{Sequence: 1})
-			if again := w.b.setTargets(w.targets, w.now); again != nil {
-				t.Errorf("told again: %v", again)
+			// An invalid entry is reported only once per change of it.
+			f.report("other", Target{Sequence: 1})
+			if again := f.catalog.setTargets(f.targets, f.now); again != nil {
+				t.Errorf("reported again: %v", again)
 			}
-			if faults := w.put("a", good); faults != nil || len(w.names()) != 2 || w.cold("a") {
-				t.Errorf("the same start, readable again: faults %v, targets %v, cold %v", faults, w.names(), w.cold("a"))
+			if invalid := f.put("a", good); invalid != nil || len(f.names()) != 2 || f.cold("a") {
+				t.Errorf("the same start, valid again: invalid %v, targets %v, cold %v", invalid, f.names(), f.cold("a"))
 			}
 		})
 	}
 }
 
-// Names are valid in headers and messages.
-func TestIDsThatCanNotBeNames(t *testing.T) {
+// Ids that can't be used in headers and names are rejected.
+func TestInvalidIDs(t *testing.T) {
 	for _, id := range []string{"", "a b", "a\nb", "a@5", "é", strings.Repeat("x", maxInstanceBytes+1)} {
 		target := Target{Instance: id, Slots: 1, Zone: "z1", Address: "10.0.0.1:80"}
-		var fault *FieldError
-		if err := target.check(map[string]string{"z1": "r1"}); !errors.As(err, &fault) || fault.Field != "name" {
+		var fieldErr *FieldError
+		if err := target.validate(map[string]string{"z1": "r1"}); !errors.As(err, &fieldErr) || fieldErr.Field != "name" {
 			t.Errorf("id %q: %v", id, err)
 		}
 	}
 }
 
 func TestLongEntriesAreNotKept(t *testing.T) {
-	w := newWorld(t, "other")
-	faults := w.put("a", `{"x":"`+strings.Repeat("y", maxEntryBytes)+`"}`)
-	if len(faults) != 1 || !errors.Is(faults[0].err, ErrOmitted) || len(w.names()) != 1 {
-		t.Errorf("faults %v, targets %v", faults, w.names())
+	f := newCatalogFixture(t, "other")
+	invalid := f.put("a", `{"x":"`+strings.Repeat("y", maxEntryBytes)+`"}`)
+	if len(invalid) != 1 || !errors.Is(invalid[0].err, ErrOmitted) || len(f.names()) != 1 {
+		t.Errorf("invalid %v, targets %v", invalid, f.names())
 	}
-	if o, _ := w.targets.Get("a"); len(o.Value) != 0 || o.Omitted <= maxEntryBytes {
+	if o, _ := f.targets.Get("a"); len(o.Value) != 0 || o.Omitted <= maxEntryBytes {
 		t.Errorf("kept %d bytes, omitted %d", len(o.Value), o.Omitted)
 	}
 }
 
-// Starts of targets without an entry are dropped in the end.
+// The number of recorded starts of targets without an entry is bounded.
 func TestStartsAreBounded(t *testing.T) {
-	w := newWorld(t, "other")
+	f := newCatalogFixture(t, "other")
 	for i := range 3 * maxStarts {
-		w.b.recordStart(&Target{Instance: fmt.Sprint(i), Born: int64(i + 1)})
+		f.catalog.recordStart(&Target{Instance: fmt.Sprint(i), Born: int64(i + 1)})
 	}
-	if n := len(w.b.starts); n > maxStarts {
+	if n := len(f.catalog.latestStarts); n > maxStarts {
 		t.Errorf("%d starts are kept", n)
 	}
 }
 
-// Unknown zones are ignored, and the content of known ones does not matter.
+// Unknown zones are ignored, and so is the content of objects that name a known zone.
 func TestEvacuationsOfOtherWriters(t *testing.T) {
-	w := newWorld(t, "a")
-	w.version++
-	w.zones.Replace([]platform.Object{
-		{Name: "nowhere", Version: w.version},
-		{Name: "z1", Version: w.version, Value: []byte("\xff" + strings.Repeat("x", maxEntryBytes))},
-	}, w.version)
-	if unknown := w.b.setZones(w.zones, w.now); len(unknown) != 1 || unknown[0] != "nowhere" {
+	f := newCatalogFixture(t, "a")
+	f.version++
+	f.zones.Replace([]platform.Object{
+		{Name: "nowhere", Version: f.version},
+		{Name: "z1", Version: f.version, Value: []byte("\xff" + strings.Repeat("x", maxEntryBytes))},
+	}, f.version)
+	if unknown := f.catalog.setZones(f.zones, f.now); len(unknown) != 1 || unknown[0] != "nowhere" {
 		t.Errorf("unknown zones %v", unknown)
 	}
-	if got := w.b.view(noShares).Evacuated; len(got) != 1 || !got["z1"] {
+	if got := f.catalog.view(noShares).Evacuated; len(got) != 1 || !got["z1"] {
 		t.Errorf("evacuated %v", got)
 	}
 }
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -7,52 +7,54 @@
 	"masticturn/internal/settings"
 )
 
-// Timing is the freshness of a kind that makes changes known everywhere within a bound.
+// Timing sets how fresh each VM keeps its state of a kind, so that changes reach all VMs within a
+// bound.
 type Timing struct {
-	// Watch is how long the store may hold a watch. It bounds the time until an outage or
-	// missed changes are detected.
+	// Watch is how long the store may hold a watch. An outage or missed changes are detected
+	// within this time.
 	Watch time.Duration
-	// Stale is the age from which a peer's state is insufficient. It covers a watch, the
-	// delay between regions and settlePause; the rest of the bound is for polling others.
+	// Stale is the age above which a peer's state is stale. It covers a watch, the delay between
+	// regions and coalesceDelay. The rest of the bound is left for polling other peers.
 	Stale time.Duration
 }
 
-// Timings and the bounds that they hold; tighter bounds shorten them in proportion.
+// Default timings and the bounds that they meet. For tighter bounds they are shortened in
+// proportion.
 var (
-	// changeTiming is that of the document and the targets.
+	// changeTiming applies to the document and the targets.
 	changeTiming = Timing{Watch: 950 * time.Millisecond, Stale: 1350 * time.Millisecond}
 	changeBound  = 2 * time.Second
-	// zonesTiming is that of the evacuated zones.
+	// zonesTiming applies to the evacuated zones.
 	zonesTiming = Timing{Watch: 2400 * time.Millisecond, Stale: 2800 * time.Millisecond}
 	zonesBound  = 5 * time.Second
 )
 
-// readsPerRevocation is how many watches of the document end within the time in which a removed key
-// must be refused. A VM may then miss several of them.
-const readsPerRevocation = 10
+// watchesPerRevocation is the number of watches of the document that end within the bound after
+// which a removed key must be refused, so that a VM may miss several of them.
+const watchesPerRevocation = 10
 
-// Timings returns each kind's timing under the deployment's bounds.
+// Timings returns the timing of each kind under the deployment's bounds.
 func Timings(kinds Kinds, b settings.Bounds) map[platform.Kind]Timing {
-	document := changeTiming.within(changeBound, b.ConfigInForce)
+	document := changeTiming.scaledTo(changeBound, b.ConfigInForce)
 	if b.KeyRevocation > 0 {
-		watch := min(document.Watch, b.KeyRevocation/readsPerRevocation)
+		watch := min(document.Watch, b.KeyRevocation/watchesPerRevocation)
 		document = Timing{Watch: watch, Stale: document.Stale - document.Watch + watch}
 	}
 	return map[platform.Kind]Timing{
 		kinds.Document:    document,
-		kinds.Targets:     changeTiming.within(changeBound, b.TargetDrain),
-		kinds.Evacuations: zonesTiming.within(zonesBound, b.ZoneEvacuation),
+		kinds.Targets:     changeTiming.scaledTo(changeBound, b.TargetDrain),
+		kinds.Evacuations: zonesTiming.scaledTo(zonesBound, b.ZoneEvacuation),
 	}
 }
 
-// within scales a timing that holds one bound to a tighter one; 0: no bound.
-func (t Timing) within(holds, bound time.Duration) Timing {
-	if bound == 0 || bound >= holds {
+// scaledTo scales a timing that meets designBound to a tighter bound. A bound of 0 means none.
+func (t Timing) scaledTo(designBound, bound time.Duration) Timing {
+	if bound == 0 || bound >= designBound {
 		return t
 	}
-	part := float64(bound) / float64(holds)
+	ratio := float64(bound) / float64(designBound)
 	return Timing{
-		Watch: time.Duration(part * float64(t.Watch)),
-		Stale: time.Duration(part * float64(t.Stale)),
+		Watch: time.Duration(ratio * float64(t.Watch)),
+		Stale: time.Duration(ratio * float64(t.Stale)),
 	}
 }
--- a/internal/discovery/view.go
+++ b/internal/discovery/view.go
@@ -8,26 +8,27 @@
 	"masticturn/internal/config"
 )
 
-// View is the catalog at one moment. It is immutable.
+// View is an immutable snapshot of the catalog.
 type View struct {
-	Snapshot  *config.Snapshot     // the document with all targets
-	Evacuated map[string]bool      // availability zones
-	ColdUntil map[string]time.Time // by target; absent: not cold
+	Snapshot  *config.Snapshot     // the document and all usable targets
+	Evacuated map[string]bool      // evacuated availability zones
+	ColdUntil map[string]time.Time // by target name; absent if not cold
 }
 
-// catalogEntry is a target with its local state.
+// catalogEntry is a target's entry with this VM's state about it.
 type catalogEntry struct {
 	Target
-	reported   time.Time // arrival of its last entry
-	coldUntil  time.Time
-	vanished   time.Time // since when its entry is missing; zero: it exists
-	unreadable bool      // its entry is invalid
+	reportedAt   time.Time // arrival of the last entry applied
+	coldUntil    time.Time
+	missingSince time.Time // time from which the entry is missing; zero if it exists
+	invalid      bool      // the latest entry is invalid
 }
 
-// assemble builds a view.
-func assemble(doc *config.Document, gen config.Generation, places map[string]string, targets map[string]*catalogEntry, evacuated map[string]bool) *View {
+// buildView returns a view of the document with the given targets. It leaves out targets of
+// unknown services and targets with an invalid entry.
+func buildView(doc *config.Document, gen config.Generation, regionByZone map[string]string, targets map[string]*catalogEntry, evacuated map[string]bool) *View {
 	live := *doc
-	live.Regions = regionsOf(places)
+	live.Regions = regionsOf(regionByZone)
 	live.Services = slices.Clone(doc.Services)
 	index := make(map[string]int, len(live.Services))
 	for i := range live.Services {
@@ -38,8 +39,8 @@
 	for _, name := range slices.Sorted(maps.Keys(targets)) {
 		t := targets[name]
 		i, ok := index[t.Service]
-		if !ok || t.unreadable {
-			continue // unknown service or invalid entry
+		if !ok || t.invalid {
+			continue
 		}
 		svc := &live.Services[i]
 		svc.Targets = append(svc.Targets, config.Target{
@@ -59,11 +60,11 @@
 	return v
 }
 
-// regionsOf returns the regions with their zones, sorted.
-func regionsOf(places map[string]string) []config.Region {
+// regionsOf returns the regions with their availability zones, both sorted by name.
+func regionsOf(regionByZone map[string]string) []config.Region {
 	zones := make(map[string][]string)
-	for _, zone := range slices.Sorted(maps.Keys(places)) {
-		zones[places[zone]] = append(zones[places[zone]], zone)
+	for _, zone := range slices.Sorted(maps.Keys(regionByZone)) {
+		zones[regionByZone[zone]] = append(zones[regionByZone[zone]], zone)
 	}
 	regions := make([]config.Region, 0, len(zones))
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,73 +13,78 @@
 
 // Intervals and limits of calls to the store and to peers.
 const (
-	// minLapse is the shortest outage in which entries can lapse: a few report intervals of a
-	// target.
-	minLapse = 2 * time.Second
-	// settlePause collects further changes before the next watch, to save calls.
-	settlePause = 200 * time.Millisecond
-	// restartWait is how long a starting VM tries peers before it reads the store. At a fleet's
-	// first start no callers wait yet, so that it is longer (firstStartWait).
-	restartWait    = 300 * time.Millisecond
-	firstStartWait = 2 * time.Second
-	// bootstrapInterval is the interval of tries to find a peer while bootstrapping.
-	bootstrapInterval = 20 * time.Millisecond
-	// pollPause is the pause while all sources are skipped.
-	pollPause = 50 * time.Millisecond
-	// bootstrapPollTimeout bounds a poll while bootstrapping, as the peer may not have started.
+	// minExpiryOutage is the shortest outage in which entries can expire. It is a few report
+	// intervals of a target.
+	minExpiryOutage = 2 * time.Second
+	// coalesceDelay is the delay before the next watch after a change. Changes in this time are
+	// read with one call.
+	coalesceDelay = 200 * time.Millisecond
+	// restartBootstrapTimeout is how long a starting VM tries to bootstrap from peers before it
+	// reads the store. firstStartBootstrapTimeout is used at the fleet's first start. It is longer,
+	// as no callers are waiting yet.
+	restartBootstrapTimeout    = 300 * time.Millisecond
+	firstStartBootstrapTimeout = 2 * time.Second
+	// bootstrapRetryInterval is the interval between attempts to find a peer while bootstrapping.
+	bootstrapRetryInterval = 20 * time.Millisecond
+	// allSkippedDelay is the delay before the next step while all sources are skipped.
+	allSkippedDelay = 50 * time.Millisecond
+	// bootstrapPollTimeout is the timeout of a poll while bootstrapping. It is short because the
+	// peer may not have started yet.
 	bootstrapPollTimeout = 250 * time.Millisecond
-	// fallbackReadRate is the rate of reads of a kind by the fleet's other VMs, in reads/s, once
-	// minStaleAnswers peers in a row were stale. The store may refuse all readers and serve others.
+	// fallbackReadRate is the total rate, in reads/s per kind, at which the VMs that are not
+	// readers read the store. Each of them does so once minStaleAnswers consecutive polls were
+	// answered with stale state. The store may refuse all readers and still serve other VMs.
 	fallbackReadRate = 12
 	minStaleAnswers  = 2
-	// peerPolls is the number of polls of random peers after each failed call to the store, each
-	// after peerPollPause and for peerPollTimeout at most.
-	peerPolls       = 2
-	peerPollPause   = 100 * time.Millisecond
-	peerPollTimeout = 400 * time.Millisecond
+	// peerPollsPerFailure is the number of random peers that are polled after each failed call to
+	// the store. Each poll starts after peerPollDelay and takes at most peerPollTimeout.
+	peerPollsPerFailure = 2
+	peerPollDelay       = 100 * time.Millisecond
+	peerPollTimeout     = 400 * time.Millisecond
 )
 
-// change is the result of one read of the store or a peer.
+// change is the result of one read of the store or one poll of a peer.
 type change struct {
-	kind     platform.Kind
-	list     []platform.Object // complete, if listed
-	listed   bool
-	events   []platform.Event
-	asOf     platform.Version
-	age      time.Duration // of the content
-	regained bool          // ends an outage
-	// confirmed is when the content was certainly the store's latest.
+	kind       platform.Kind
+	objects    []platform.Object // the complete list, if complete is set
+	complete   bool
+	events     []platform.Event
+	asOf       platform.Version
+	age        time.Duration // age of the content
+	endsOutage bool          // the first success after an outage in which entries may have expired
+	// confirmed is a time at which the content was at least as recent as the store's.
 	confirmed confirmation
 }
 
-// watcher keeps a kind's mirror up to date, from peers while they are fresh, else from the store.
+// watcher keeps the mirror of one kind up to date. It polls peers while their state is fresh, and
+// reads the store otherwise.
 type watcher struct {
-	kind    platform.Kind
-	stale   time.Duration // age from which a peer's state is insufficient
-	store   platform.Store
-	backoff *outageBackoff // shared by all kinds
-	joined  func() bool    // whether this VM has joined the others, or is alone
-	sources func() sources
-	relay   func(vm string) relaySource
-	clock   kernel.Clock
-	boot    kernel.BootClock
-	logger  *telemetry.Logger
-	publish func(change change)
-	confirm func(c confirmation) // of the present state
+	kind       platform.Kind
+	staleAfter time.Duration // age above which a peer's state is stale
+	store      platform.Store
+	backoff    *outageBackoff // shared by the watchers of all kinds
+	joined     func() bool    // see Deps.Joined
+	sources    func() sources
+	sourceOf   func(vm string) peerSource
+	clock      kernel.Clock
+	boot       kernel.BootClock
+	logger     *telemetry.Logger
+	publish    func(change change)
+	confirm    func(c confirmation) // records a confirmation of the current state
 
-	firstStart   bool                 // of the whole fleet
-	asOf         platform.Version     // 0: a list is needed
-	skipUntil    map[string]time.Time // by peer
-	staleAnswers int                  // consecutive ones
-	lastDraw     time.Time            // of a fallback read, or the last success
-	outage       bool                 // neither peers nor the store have current state
-	readFailed   bool                 // the last read of the store
-	pollsDue     int                  // of random peers before the next read
-	lostAt       time.Time
-	readNow      bool // read the store next, regardless of sources
+	firstStart       bool                 // see Deps.FirstStart
+	asOf             platform.Version     // version of the current state; 0: a complete list is needed
+	skipUntil        map[string]time.Time // by peer; the peer is not polled before that time
+	staleAnswers     int                  // number of consecutive stale answers
+	lastFallbackDraw time.Time            // last random draw for a fallback read, or last success
+	inOutage         bool                 // neither peers nor the store provide current state
+	lastReadFailed   bool                 // the last read of the store failed
+	peerPollsLeft    int                  // polls of random peers before the next read
+	outageStart      time.Time
+	readStoreNext    bool // read the store in the next step, regardless of sources
 }
 
-// run works until the context is done.
+// run bootstraps the mirror and then updates it until the context is done.
 func (w *watcher) run(ctx context.Context) {
 	w.bootstrap(ctx)
 	for ctx.Err() == nil {
@@ -87,33 +92,34 @@
 	}
 }
 
-// bootstrap fetches the first list from a peer, to save calls to the store, and falls back to
-// the store.
+// bootstrap fetches the first list from a peer, to save store calls. If that fails, the first step
+// reads the store.
 func (w *watcher) bootstrap(ctx context.Context) {
-	waitCtx, cancel := context.WithTimeout(ctx, w.bootstrapWait())
+	waitCtx, cancel := context.WithTimeout(ctx, w.bootstrapTimeout())
 	defer cancel()
 	for waitCtx.Err() == nil && !w.joined() {
-		sleep(waitCtx, bootstrapInterval)
+		sleep(waitCtx, bootstrapRetryInterval)
 	}
 	for waitCtx.Err() == nil && w.asOf == 0 {
-		from := w.sources().vms
-		if len(from) == 0 || w.bootstrapFrom(waitCtx, w.nextSource(from)) {
+		vms := w.sources().preferred
+		if len(vms) == 0 || w.bootstrapFrom(waitCtx, w.nextSource(vms)) {
 			break
 		}
-		sleep(waitCtx, bootstrapInterval)
+		sleep(waitCtx, bootstrapRetryInterval)
 	}
-	w.readNow = w.asOf == 0
+	w.readStoreNext = w.asOf == 0
 }
 
-func (w *watcher) bootstrapWait() time.Duration {
+func (w *watcher) bootstrapTimeout() time.Duration {
 	if w.firstStart {
-		return firstStartWait
+		return firstStartBootstrapTimeout
 	}
-	return restartWait
+	return restartBootstrapTimeout
 }
 
-// bootstrapFrom polls a peer, "" for none, for the first list. It reports whether peers need no
-// more polls.
+// bootstrapFrom polls a peer for the first list; it does nothing if vm is "". It reports whether to
+// stop polling peers: the list was received, or the peer has no state either and this is not the
+// fleet's first start.
 func (w *watcher) bootstrapFrom(ctx context.Context, vm string) bool {
 	if vm == "" {
 		return false
@@ -124,56 +130,58 @@
 	if err == nil {
 		return true
 	}
-	w.skipUntil[vm] = w.clock.Now().Add(skipBriefly)
+	w.skipUntil[vm] = w.clock.Now().Add(skipStarting)
 	return errors.Is(err, errStarting) && !w.firstStart
 }
 
-// step makes one call.
+// step polls one peer or makes one store call.
 func (w *watcher) step(ctx context.Context) {
-	from := w.sources()
-	vm := w.nextSource(from.vms)
+	src := w.sources()
+	vm := w.nextSource(src.preferred)
 	switch {
-	case w.outage && (!w.readNow || w.readFailed) && w.prefersPeers():
-		w.pollAnyPeer(ctx, &from)
-	case w.readNow || vm == "" && w.staleAnswers == 0:
-		w.readNow = false
+	case w.inOutage && (!w.readStoreNext || w.lastReadFailed) && w.takePeerPoll():
+		w.pollRandomPeer(ctx, &src)
+	case w.readStoreNext || vm == "" && w.staleAnswers == 0:
+		w.readStoreNext = false
 		w.staleAnswers = 0
 		if err := w.backoff.call(ctx, w.clock, w.read); err != nil {
-			w.failed(ctx, err)
+			w.recordFailure(ctx, err)
 		}
 	case vm == "":
-		sleep(ctx, pollPause)
+		sleep(ctx, allSkippedDelay)
 	default:
-		w.pollPeer(ctx, vm, &from, false)
+		w.pollPeer(ctx, vm, &src, false)
 	}
 }
 
-// prefersPeers reports whether the next step of an outage polls a peer. A call to a silent store takes
-// long, so that some polls follow each.
-func (w *watcher) prefersPeers() bool {
-	if w.pollsDue > 0 {
-		w.pollsDue--
+// takePeerPoll reports whether this step of an outage polls a peer: for some polls after each failed
+// call, which it counts, and while the backoff allows no call. The polls are needed because a call
+// to an unresponsive store takes long.
+func (w *watcher) takePeerPoll() bool {
+	if w.peerPollsLeft > 0 {
+		w.peerPollsLeft--
 		return true
 	}
 	return !w.backoff.due(w.clock.Now())
 }
 
-// pollAnyPeer polls a random peer. In a partial outage the store may serve others than its readers.
-func (w *watcher) pollAnyPeer(ctx context.Context, from *sources) {
-	sleep(ctx, peerPollPause)
-	if len(from.others) == 0 {
+// pollRandomPeer polls a random peer. In a partial outage the store may serve VMs other than its
+// usual readers.
+func (w *watcher) pollRandomPeer(ctx context.Context, src *sources) {
+	sleep(ctx, peerPollDelay)
+	if len(src.others) == 0 {
 		return
 	}
-	vm := from.others[rand.IntN(len(from.others))]
+	vm := src.others[rand.IntN(len(src.others))]
 	if !w.clock.Now().After(w.skipUntil[vm]) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerPollTimeout)
 	defer cancel()
-	w.pollPeer(ctx, vm, from, true)
+	w.pollPeer(ctx, vm, src, true)
 }
 
-// nextSource returns the preferred source that is not skipped; "" if there is none.
+// nextSource returns the most preferred source that is not skipped, or "" if there is none.
 func (w *watcher) nextSource(vms []string) string {
 	now := w.clock.Now()
 	for _, vm := range vms {
@@ -184,46 +192,48 @@
 	return ""
 }
 
-// pollPeer polls a peer and decides on the next step if it fails.
-func (w *watcher) pollPeer(ctx context.Context, vm string, from *sources, immediate bool) {
-	began := w.clock.Now()
+// pollPeer polls a peer. If the poll fails, the peer is skipped for some time, and the next step may
+// read the store.
+func (w *watcher) pollPeer(ctx context.Context, vm string, src *sources, immediate bool) {
+	start := w.clock.Now()
 	err := w.poll(ctx, vm, immediate)
 	if err == nil || ctx.Err() != nil {
 		return
 	}
 	now := w.clock.Now()
-	if !w.outage {
-		w.logger.Log(eventRelayLost, telemetry.Peer(vm), telemetry.Value("kind", string(w.kind)), telemetry.Err(err))
+	if !w.inOutage {
+		w.logger.Log(eventSourceLost, telemetry.Peer(vm), telemetry.Value("kind", string(w.kind)), telemetry.Err(err))
 	}
 	if errors.Is(err, errStale) || errors.Is(err, errStarting) {
-		w.skipUntil[vm] = now.Add(skipStaleFor)
-		w.recordStale(from)
+		w.skipUntil[vm] = now.Add(skipStale)
+		w.recordStaleAnswer(src)
 		return
 	}
-	w.skipUntil[vm] = now.Add(skipFor)
-	// Another slow peer would exceed the bound.
-	w.readNow = now.Sub(began) > w.stale/2
+	w.skipUntil[vm] = now.Add(skipUnresponsive)
+	// After a slow failure, a poll of another slow peer would exceed the bound.
+	w.readStoreNext = now.Sub(start) > w.staleAfter/2
 }
 
-// recordStale records a stale peer. Readers then read the store. Other VMs do at random, at a
-// rate that does not grow with the fleet.
-func (w *watcher) recordStale(from *sources) {
+// recordStaleAnswer records that a peer's state is stale. Readers then read the store. Other VMs do
+// so at random, at a total rate that does not grow with the fleet.
+func (w *watcher) recordStaleAnswer(src *sources) {
 	w.staleAnswers++
-	w.readNow = from.reader
+	w.readStoreNext = src.isReader
 	if w.staleAnswers < minStaleAnswers {
 		return
 	}
-	w.loseStore(errStale)
+	w.beginOutage(errStale)
 	now := w.clock.Now()
-	expected := fallbackReadRate * now.Sub(w.lastDraw).Seconds()
-	w.lastDraw = now
-	w.readNow = w.readNow || rand.Float64()*float64(from.members) < expected
+	expected := fallbackReadRate * now.Sub(w.lastFallbackDraw).Seconds()
+	w.lastFallbackDraw = now
+	w.readStoreNext = w.readStoreNext || rand.Float64()*float64(src.fleetSize) < expected
 }
 
-// poll makes one poll and applies its answer. Now requests an answer without waiting for changes.
-func (w *watcher) poll(ctx context.Context, vm string, now bool) error {
+// poll polls a peer and applies its answer. If immediate is set, the peer answers without waiting for
+// changes.
+func (w *watcher) poll(ctx context.Context, vm string, immediate bool) error {
 	sent := w.boot.SinceBoot()
-	a, err := w.relay(vm).poll(ctx, &pollRequest{Kind: w.kind, Since: w.asOf, Now: now})
+	a, err := w.sourceOf(vm).poll(ctx, &pollRequest{Kind: w.kind, Since: w.asOf, Now: immediate})
 	if err != nil {
 		return err
 	}
@@ -231,31 +241,31 @@
 		return errStarting
 	}
 	if a.AsOf < w.asOf {
-		return errStale // behind this VM
+		return errStale // older than this VM's state
 	}
-	if a.Age > w.stale {
+	if a.Age > w.staleAfter {
 		w.applyNewer(a, sent)
 		return errStale
 	}
 	w.staleAnswers = 0
-	w.succeeded(a.change(w.kind, sent))
+	w.recordSuccess(a.toChange(w.kind, sent))
 	return nil
 }
 
-// applyNewer applies state that is stale but newer than the present one.
+// applyNewer applies an answer whose state is stale, but not older than this VM's state.
 func (w *watcher) applyNewer(a *pollAnswer, sent time.Duration) {
 	if w.asOf == 0 {
 		return
 	}
 	if a.AsOf == w.asOf {
-		w.confirm(a.change(w.kind, sent).confirmed)
+		w.confirm(a.toChange(w.kind, sent).confirmed)
 		return
 	}
 	w.asOf = a.AsOf
-	w.publish(a.change(w.kind, sent))
+	w.publish(a.toChange(w.kind, sent))
 }
 
-// read makes one call to the store.
+// read makes one store call: a list if this VM has no state, else a watch.
 func (w *watcher) read(ctx context.Context) error {
 	confirmed := confirmation{known: true, at: w.boot.SinceBoot()}
 	if w.asOf == 0 {
@@ -263,34 +273,34 @@
 		if err != nil {
 			return err
 		}
-		w.succeeded(change{kind: w.kind, list: list, listed: true, asOf: asOf, confirmed: confirmed})
+		w.recordSuccess(change{kind: w.kind, objects: list, complete: true, asOf: asOf, confirmed: confirmed})
 		return nil
 	}
 	events, asOf, err := w.store.Watch(ctx, w.kind, w.asOf)
 	if err != nil {
 		return err
 	}
-	w.succeeded(change{kind: w.kind, events: events, asOf: asOf, confirmed: confirmed})
+	w.recordSuccess(change{kind: w.kind, events: events, asOf: asOf, confirmed: confirmed})
 	if len(events) > 0 {
-		sleep(ctx, settlePause)
+		sleep(ctx, coalesceDelay)
 	}
 	return nil
 }
 
-func (w *watcher) succeeded(c change) {
-	w.lastDraw = w.clock.Now()
+func (w *watcher) recordSuccess(c change) {
+	w.lastFallbackDraw = w.clock.Now()
 	w.asOf = c.asOf
-	w.readFailed = false
-	if w.outage {
-		w.outage = false
-		c.regained = w.clock.Now().Sub(w.lostAt) >= minLapse
+	w.lastReadFailed = false
+	if w.inOutage {
+		w.inOutage = false
+		c.endsOutage = w.clock.Now().Sub(w.outageStart) >= minExpiryOutage
 		w.logger.Log(eventStoreRegained, telemetry.Value("kind", string(w.kind)),
-			telemetry.Value("away_ms", w.clock.Now().Sub(w.lostAt).Milliseconds()))
+			telemetry.Value("away_ms", w.clock.Now().Sub(w.outageStart).Milliseconds()))
 	}
 	w.publish(c)
 }
 
-func (w *watcher) failed(ctx context.Context, err error) {
+func (w *watcher) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -298,22 +308,22 @@
 		w.asOf = 0
 		return
 	}
-	w.readFailed = true
-	w.pollsDue = peerPolls
-	w.loseStore(err)
+	w.lastReadFailed = true
+	w.peerPollsLeft = peerPollsPerFailure
+	w.beginOutage(err)
 }
 
-// loseStore begins an outage: neither peers nor the store have current state.
-func (w *watcher) loseStore(err error) {
-	if w.outage {
+// beginOutage records that neither peers nor the store provide current state.
+func (w *watcher) beginOutage(err error) {
+	if w.inOutage {
 		return
 	}
-	w.outage = true
-	w.lostAt = w.clock.Now()
+	w.inOutage = true
+	w.outageStart = w.clock.Now()
 	w.logger.Log(eventStoreLost, telemetry.Value("kind", string(w.kind)), telemetry.Err(err))
 }
 
-// sleep waits, or returns early when the context is done.
+// sleep waits for d or until the context is done.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
