--- a/internal/lookup/answer.go
+++ b/internal/lookup/answer.go
@@ -11,41 +11,41 @@
 	"masticturn/internal/rendezvous"
 )
 
-// Weights of a VM in the order of an answer. A VM of the caller's own zone
-// wins more often, but not always: else the death of one VM would move all
-// callers of its zone to one other VM.
+// Weights of VMs in the ranking of an answer. VMs of the caller's zone are
+// preferred, but not always first: otherwise the loss of one VM would move all
+// callers of its zone to a single other VM.
 const (
 	weightSameZone   = 4
 	weightSameRegion = 1
 )
 
-// Buckets is the number of groups into which the callers of one place are
-// spread. All callers of a bucket get the same order.
+// Buckets is the number of buckets over which the callers of one place are
+// spread. All callers of a bucket get the same ranking.
 const Buckets = 64
 
-// Roster holds the members that may be named to callers, by region. It is
-// immutable; answers of one view share it.
+// Roster holds the members that answers may name, by region. It is immutable
+// and shared by all answers of one view.
 type Roster struct {
 	regions []string
 	members map[string][]membership.Member
 }
 
-// NewRoster groups the members of a view that may be named: those alive and
-// with a document in force; failing that, the suspect ones, since a wrong
-// suspicion must not leave callers with nothing.
+// NewRoster groups the members of a view that answers may name: those that are
+// alive and have a document in force. If there are none, it takes the suspect
+// members, because a wrong suspicion must not leave callers without any VM.
 func NewRoster(view *membership.View) *Roster {
 	r := &Roster{members: make(map[string][]membership.Member)}
-	r.fill(view, func(m *membership.Member) bool { return m.State == membership.Alive && m.Generation > 0 })
+	r.addMembers(view, func(m *membership.Member) bool { return m.State == membership.Alive && m.Generation > 0 })
 	if len(r.regions) == 0 {
-		r.fill(view, func(m *membership.Member) bool { return m.State == membership.Suspect })
+		r.addMembers(view, func(m *membership.Member) bool { return m.State == membership.Suspect })
 	}
 	return r
 }
 
-func (r *Roster) fill(view *membership.View, take func(*membership.Member) bool) {
+func (r *Roster) addMembers(view *membership.View, include func(*membership.Member) bool) {
 	for i := range view.Members {
 		m := &view.Members[i]
-		if !take(m) {
+		if !include(m) {
 			continue
 		}
 		if _, ok := r.members[m.Region]; !ok {
@@ -55,25 +55,25 @@
 	}
 }
 
-// Candidates returns the VMs to name to the callers of a place and bucket,
-// best first, at most limit: those of the place's region, spread by bucket,
-// then those of the other regions, nearest first. The second one is of another
-// availability zone and the last one of another region than the first, where
-// there are such, so that callers whose zone or region is lost reach somebody
-// before they look up again.
+// Candidates returns at most limit VMs for the callers of a place and bucket,
+// best first: VMs of the place's region, ranked by bucket, then those of the
+// other regions, nearest region first. If possible, the second VM is in another
+// availability zone than the first, and the last one in another region, so that
+// callers can reach a VM without a new look-up after the loss of a zone or
+// region.
 func (r *Roster) Candidates(snap *config.Snapshot, place Place, bucket, limit int) []membership.Member {
 	key := place.Region + "/" + place.Zone + "/" + strconv.Itoa(bucket)
 	regions := r.nearestFirst(snap, place.Region)
 	var out []membership.Member
 	for i, region := range regions {
-		room := limit - len(out)
+		count := limit - len(out)
 		if i == 0 && len(regions) > 1 {
-			room = max(room-1, 1) // one place is for another region
+			count = max(count-1, 1) // keep one for another region
 		}
-		if room <= 0 {
+		if count <= 0 {
 			break
 		}
-		out = append(out, ranked(r.members[region], place, key, room)...)
+		out = append(out, rankMembers(r.members[region], place, key, count)...)
 	}
 	return out
 }
@@ -91,19 +91,19 @@
 	score  float64
 }
 
-// ranked returns the first limit members for the key, best first. The second
-// one is of another availability zone than the first where there is one, for
-// callers whose zone is lost.
-func ranked(members []membership.Member, place Place, key string, limit int) []membership.Member {
+// rankMembers returns the limit best members for the key, best first. If
+// possible, the second one is in another availability zone than the first, for
+// callers that lose the first one's zone.
+func rankMembers(members []membership.Member, place Place, key string, limit int) []membership.Member {
 	scored := make([]scoredMember, len(members))
 	for i := range members {
 		m := &members[i]
-		scored[i] = scoredMember{m, rendezvous.WeightedScore(key, m.Name, weight(place, m))}
+		scored[i] = scoredMember{m, rendezvous.WeightedScore(key, m.Name, memberWeight(place, m))}
 	}
 	slices.SortFunc(scored, func(a, b scoredMember) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.member.Name, b.member.Name))
 	})
-	secondOfOtherZone(scored)
+	promoteOtherZone(scored)
 	out := make([]membership.Member, min(limit, len(scored)))
 	for i := range out {
 		out[i] = *scored[i].member
@@ -111,9 +111,9 @@
 	return out
 }
 
-// secondOfOtherZone moves the best member of another zone than the first one's
-// to the second place.
-func secondOfOtherZone(scored []scoredMember) {
+// promoteOtherZone moves the best member that is not in the first one's zone to
+// the second position.
+func promoteOtherZone(scored []scoredMember) {
 	for i := 1; i < len(scored); i++ {
 		if scored[i].member.Zone == scored[0].member.Zone {
 			continue
@@ -125,15 +125,15 @@
 	}
 }
 
-func weight(place Place, m *membership.Member) float64 {
+func memberWeight(place Place, m *membership.Member) float64 {
 	if place.Zone != "" && place.Zone == m.Zone {
 		return weightSameZone
 	}
 	return weightSameRegion
 }
 
-// distance is the one-way latency of the link between two regions; a region
-// without a link is farthest.
+// distance returns the one-way latency of the link between two regions. Regions
+// without a link sort last.
 func distance(snap *config.Snapshot, from, to string) config.Millis {
 	if from == to || from == "" {
 		return 0
--- a/internal/lookup/locator.go
+++ b/internal/lookup/locator.go
@@ -1,16 +1,17 @@
-// Package lookup answers which VMs a caller shall use.
+// Package lookup tells callers which VMs to use.
 package lookup
 
 import "net/netip"
 
-// Place is where a caller is.
+// Place is the location of a caller or a VM.
 type Place struct {
 	Region string
-	Zone   string // availability zone nearest to it; may be empty
+	Zone   string // nearest availability zone; may be empty
 }
 
-// Locator places callers by their address: longest prefix of the document's
-// client blocks; this VM's own place when no block matches.
+// Locator maps the address of a caller to its place: that of the longest
+// matching prefix among the document's client blocks, or this VM's own place if
+// no block matches.
 type Locator interface {
 	Locate(addr netip.Addr) Place
 }
--- a/internal/lookup/lookup_test.go
+++ b/internal/lookup/lookup_test.go
@@ -65,8 +65,8 @@
 }
 
 func TestLocateTakesTheLongestPrefix(t *testing.T) {
-	home := Place{Region: "ba"}
-	table := NewTable(testSnapshot(t).Document.ClientBlocks, home)
+	defaultPlace := Place{Region: "ba"}
+	table := NewTable(testSnapshot(t).Document.ClientBlocks, defaultPlace)
 	tests := []struct {
 		addr string
 		want Place
@@ -74,7 +74,7 @@
 		{"127.101.1.1", Place{"rosario", "ros-a"}},
 		{"127.101.9.1", Place{"bahia", ""}},
 		{"::ffff:127.101.1.1", Place{"rosario", "ros-a"}},
-		{"10.0.0.1", home},
+		{"10.0.0.1", defaultPlace},
 	}
 	for _, tt := range tests {
 		if got := table.Locate(netip.MustParseAddr(tt.addr)); got != tt.want {
@@ -88,7 +88,7 @@
 	got := NewRoster(view).Candidates(snap, Place{"rosario", "ros-a"}, 0, 5)
 	for i, m := range got {
 		if wantHome := i < 3; (m.Region == "rosario") != wantHome {
-			t.Errorf("place %d is %s of %s", i, m.Name, m.Region)
+			t.Errorf("candidate %d is %s of %s", i, m.Name, m.Region)
 		}
 	}
 	if got[3].Region != "ba" {
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestLastAnswerIsOfAnotherRegion checks that a caller whose region is lost
-// knows a VM elsewhere, even where its own region could fill the answer.
+// A caller that loses its region must know a VM of another one, even if VMs of
+// its own region could fill the answer.
 func TestLastAnswerIsOfAnotherRegion(t *testing.T) {
 	snap, view := testSnapshot(t), testView()
 	for limit, want := range map[int][]string{
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestSecondAnswerIsOfAnotherZone checks every bucket: with three answers one
-// is in another zone and one in another region, and none is named twice.
+// In every bucket, an answer of three VMs has one of another zone and one of
+// another region, and an answer of all VMs names none twice.
 func TestSecondAnswerIsOfAnotherZone(t *testing.T) {
 	snap, roster := testSnapshot(t), NewRoster(testView())
 	for bucket := range Buckets {
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestCandidatesLeaveOutWhoMayNotServe(t *testing.T) {
+func TestCandidatesExcludeUnusableVMs(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*membership.Member)
@@ -152,7 +152,7 @@
 			for bucket := range Buckets {
 				for _, m := range NewRoster(view).Candidates(testSnapshot(t), Place{"rosario", "ros-a"}, bucket, 5) {
 					if m.Name == "vm-0" {
-						t.Fatal("named all the same")
+						t.Fatal("the answer names the VM")
 					}
 				}
 			}
@@ -162,7 +162,7 @@
 
 func TestLossOfOneVMSpreadsItsCallers(t *testing.T) {
 	snap, view := testSnapshot(t), testView()
-	takenOver := map[string]int{}
+	successors := map[string]int{}
 	for bucket := range Buckets {
 		before := NewRoster(view).Candidates(snap, Place{Region: "rosario"}, bucket, 1)[0]
 		if before.Name != "vm-1" {
@@ -170,10 +170,10 @@
 		}
 		lost := testView()
 		lost.Members[1].State = membership.Leaving
-		takenOver[NewRoster(lost).Candidates(snap, Place{Region: "rosario"}, bucket, 1)[0].Name]++
+		successors[NewRoster(lost).Candidates(snap, Place{Region: "rosario"}, bucket, 1)[0].Name]++
 	}
-	if takenOver["vm-0"] == 0 || takenOver["vm-2"] == 0 {
-		t.Errorf("one VM took all callers over: %v", takenOver)
+	if successors["vm-0"] == 0 || successors["vm-2"] == 0 {
+		t.Errorf("all callers moved to one VM: %v", successors)
 	}
 }
 
@@ -183,7 +183,7 @@
 	if err := s.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	first := ask(t, s)
+	first := lookUp(t, s)
 	if len(first.VMs) != 3 || first.MaxAgeSeconds != 5 || first.Generation != 7 {
 		t.Fatalf("got %+v", first)
 	}
@@ -196,12 +196,12 @@
 	}
 	members.view = changed
 	s.refresh()
-	if second := ask(t, s); second.VMs[0].Name == first.VMs[0].Name {
-		t.Errorf("%s is leaving and still named", first.VMs[0].Name)
+	if second := lookUp(t, s); second.VMs[0].Name == first.VMs[0].Name {
+		t.Errorf("%s is leaving, but the answer names it first", first.VMs[0].Name)
 	}
 }
 
-func TestLookupWithoutDocumentSaysWhenToComeBack(t *testing.T) {
+func TestLookupWithoutDocumentSetsRetryAfter(t *testing.T) {
 	s := NewService(Deps{Config: &fakeConfig{}, Members: &fakeMembers{view: testView()}, Metrics: metrics.NewSet()})
 	if err := s.Start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -213,7 +213,7 @@
 	}
 }
 
-func ask(t *testing.T, s *Service) edge.LookupAnswer {
+func lookUp(t *testing.T, s *Service) edge.LookupAnswer {
 	t.Helper()
 	r := httptest.NewRequest(http.MethodGet, edge.PathLookup, nil)
 	r.RemoteAddr = "127.101.1.1:1234"
--- a/internal/lookup/service.go
+++ b/internal/lookup/service.go
@@ -21,37 +21,36 @@
 	"masticturn/internal/membership"
 )
 
-// ServiceName is the name under which the kernel knows the service.
+// ServiceName is the name under which the service is registered.
 const ServiceName = "lookup.service"
 
 const millisPerSecond = 1000
 
-// TicketIssuer makes the ticket that lets a caller use idempotency keys at one
-// VM without a write to the platform.
+// TicketIssuer issues tickets. A ticket lets a caller use idempotency keys at
+// one VM without a write to the platform.
 type TicketIssuer interface {
 	Ticket(vm string, incarnation uint64) string
 }
 
-// Deps are what the service needs.
+// Deps holds the dependencies of a Service.
 type Deps struct {
 	Config  config.Source
 	Members membership.Source
-	Home    Place        // place of this VM, for callers of no known block
-	Tickets TicketIssuer // may be nil
+	Home    Place        // place of this VM, used for callers that no client block contains
+	Tickets TicketIssuer // nil: answers contain no tickets
 	Metrics *metrics.Set
 }
 
-// Service answers look-ups. The answers of one document and one view of
-// members are computed once for each place and bucket, then served from
-// memory.
+// Service answers look-ups. For one document and one view of the members, each
+// answer is computed once per place and bucket and then served from a cache.
 type Service struct {
 	deps     Deps
-	mu       sync.Mutex // serializes rebuilds
+	mu       sync.Mutex // serializes changes of table and answers
 	table    atomic.Pointer[tableState]
 	answers  atomic.Pointer[answerCache]
 	cancel   []func()
 	requests *metrics.Counter
-	misses   *metrics.Counter
+	computed *metrics.Counter
 }
 
 var (
@@ -66,7 +65,7 @@
 	table *Table
 }
 
-// answerCache holds the encoded answers made from one document and one view.
+// answerCache holds the encoded answers computed from one document and one roster.
 type answerCache struct {
 	snap        *config.Snapshot
 	roster      *Roster
@@ -79,12 +78,13 @@
 	bucket uint8
 }
 
-// NewService returns a service; it follows config and members once started.
+// NewService returns a service. It subscribes to the configuration and the
+// members when it is started.
 func NewService(deps Deps) *Service {
 	return &Service{
 		deps:     deps,
 		requests: deps.Metrics.NewCounter("masticturn_lookups_total"),
-		misses:   deps.Metrics.NewCounter("masticturn_lookup_answers_computed_total"),
+		computed: deps.Metrics.NewCounter("masticturn_lookup_answers_computed_total"),
 	}
 }
 
@@ -112,17 +112,17 @@
 	return nil
 }
 
-// tableOf returns the table of a document: that of the last one when the
+// tableFor returns the table of a document. It reuses the last table if the
 // client blocks are the same.
-func (s *Service) tableOf(snap *config.Snapshot, last *tableState) *Table {
+func (s *Service) tableFor(snap *config.Snapshot, last *tableState) *Table {
 	if last != nil && last.snap.BlocksHash == snap.BlocksHash {
 		return last.table
 	}
 	return NewTable(snap.Document.ClientBlocks, s.deps.Home)
 }
 
-// refresh swaps in an empty cache when the document or a member's fitness to
-// be named changed, and a new table when the document changed.
+// refresh installs an empty answer cache if the document or the roster changed,
+// and the table of the document if that changed.
 func (s *Service) refresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +131,7 @@
 		return
 	}
 	if old := s.table.Load(); old == nil || old.snap != snap {
-		s.table.Store(&tableState{snap: snap, table: s.tableOf(snap, old)})
+		s.table.Store(&tableState{snap: snap, table: s.tableFor(snap, old)})
 	}
 	roster := NewRoster(s.deps.Members.View())
 	current := roster.fingerprint()
@@ -140,7 +140,7 @@
 	}
 }
 
-// Renew drops the computed answers, so that new ones carry new tickets.
+// Renew discards the cached answers, so that new answers contain new tickets.
 func (s *Service) Renew() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,8 +149,8 @@
 	}
 }
 
-// fingerprint hashes what answers depend on. A member that merely took over a
-// later document changes the view, but no answer.
+// fingerprint hashes the members' data that answers depend on. A member that only
+// adopted a newer document changes the view, but not the answers.
 func (r *Roster) fingerprint() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -173,8 +173,8 @@
 	return t.table.Locate(addr)
 }
 
-// ServeHTTP answers a look-up. The optional query parameter "address" asks on
-// behalf of another address (used by the command line).
+// ServeHTTP answers a look-up. The optional query parameter "address" requests
+// the answer for another address; the command line uses it.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.requests.Inc()
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
@@ -201,8 +201,8 @@
 
 var contentTypeJSON = []string{"application/json"}
 
-// answer returns the encoded answer for an address and its max-age in whole
-// seconds, rounded down.
+// answer returns the encoded answer for an address and its max-age in seconds,
+// rounded down.
 func (s *Service) answer(addr netip.Addr) ([]byte, int, error) {
 	cache := s.answers.Load()
 	if cache == nil {
@@ -221,9 +221,9 @@
 	return body, maxAge, nil
 }
 
-// encode computes one answer.
+// encode computes and encodes one answer.
 func (s *Service) encode(cache *answerCache, key answerKey) ([]byte, error) {
-	s.misses.Inc()
+	s.computed.Inc()
 	lookup := cache.snap.Document.Lookup
 	members := cache.roster.Candidates(cache.snap, key.place, int(key.bucket), lookup.Answers)
 	if len(members) == 0 {
@@ -244,7 +244,7 @@
 	return body, trace.Wrap(err)
 }
 
-// callerAddress returns the address a look-up is about.
+// callerAddress returns the address for which a look-up is answered.
 func callerAddress(r *http.Request) (netip.Addr, error) {
 	if r.URL.RawQuery != "" {
 		if q := r.URL.Query().Get(edge.QueryAddress); q != "" {
@@ -260,7 +260,7 @@
 	return addr, trace.Wrap(err)
 }
 
-// bucketOf spreads callers by their address.
+// bucketOf returns the bucket of an address.
 func bucketOf(addr netip.Addr) uint8 {
 	b := addr.As16()
 	return uint8(xxhash.Sum64(b[:]) % Buckets)
--- a/internal/lookup/table.go
+++ b/internal/lookup/table.go
@@ -8,21 +8,21 @@
 	"masticturn/internal/config"
 )
 
-// Table places callers by the longest prefix of the document's client blocks.
-// It is immutable once built.
+// Table is a Locator that maps addresses to places by the longest matching
+// prefix of the document's client blocks. It is immutable.
 type Table struct {
-	home   Place
-	prefix bart.Table[uint32]
-	places []Place
+	defaultPlace Place
+	prefix       bart.Table[uint32]
+	places       []Place
 }
 
 var _ Locator = (*Table)(nil)
 
-// NewTable builds the table of a document's client blocks. home is returned
-// for callers that no block holds. Blocks that do not parse are left out;
-// validation refuses them before a document is accepted.
-func NewTable(blocks []config.ClientBlock, home Place) *Table {
-	t := &Table{home: home}
+// NewTable builds the table of a document's client blocks. Addresses that no
+// block contains map to defaultPlace. Blocks that can't be parsed are skipped;
+// validation rejects documents that contain them.
+func NewTable(blocks []config.ClientBlock, defaultPlace Place) *Table {
+	t := &Table{defaultPlace: defaultPlace}
 	index := make(map[Place]uint32)
 	for _, b := range blocks {
 		prefix, err := netip.ParsePrefix(b.CIDR)
@@ -46,8 +46,8 @@
 	if i, ok := t.prefix.Lookup(addr.Unmap()); ok {
 		return t.places[i]
 	}
-	return t.home
+	return t.defaultPlace
 }
 
-// Size returns the number of blocks.
+// Size returns the number of client blocks in the table.
 func (t *Table) Size() int { return t.prefix.Size() }
--- a/internal/lookup/table_test.go
+++ b/internal/lookup/table_test.go
@@ -18,13 +18,13 @@
 	source.snap = snapshotOf(t, &next)
 	s.refresh()
 	if s.table.Load().table != first {
-		t.Error("a change of something else built the table anew")
+		t.Error("the table was rebuilt although the client blocks are the same")
 	}
 	next.ClientBlocks = next.ClientBlocks[:1]
 	source.snap = snapshotOf(t, &next)
 	s.refresh()
 	if s.table.Load().table == first {
-		t.Error("other client blocks did not build the table anew")
+		t.Error("the table was not rebuilt for other client blocks")
 	}
 }
 
