--- a/internal/drain/bounded_test.go
+++ b/internal/drain/bounded_test.go
@@ -12,35 +12,34 @@
 	"masticturn/internal/telemetry"
 )
 
-// A stop with a bound takes requests for a part of its time, then tells further
-// ones to go elsewhere, and ends when nothing is in flight; it cuts nothing by
-// itself.
+// A bounded stop accepts requests for a part of its time, then refuses further
+// ones, and ends when no request is in flight. It cuts no request by itself.
 func TestBoundedStop(t *testing.T) {
 	const linger = 3 * time.Second
 	now := time.Unix(1000, 0)
-	m := newMachine(times{spread: linger, grace: time.Minute, refuse: true})
-	m.next(event{kind: eventBegin}, now)
-	if got := m.next(event{kind: eventAnnounced}, now); !slices.Equal(got, []action{actionCloseConnections}) {
-		t.Errorf("told: %v", got)
+	m := newStateMachine(stopParams{propagation: linger, reportInterval: time.Minute, bounded: true})
+	m.handle(event{kind: eventStopRequested}, now)
+	if got := m.handle(event{kind: eventAnnounced}, now); !slices.Equal(got, []action{actionCloseConnections}) {
+		t.Errorf("after the announcement: %v", got)
 	}
-	for ; now.Before(time.Unix(1000, 0).Add(linger)); now = now.Add(tickTime) {
-		if got := m.next(event{kind: eventTick, inFlight: 1}, now); got != nil {
+	for ; now.Before(time.Unix(1000, 0).Add(linger)); now = now.Add(tickInterval) {
+		if got := m.handle(event{kind: eventTick, inFlight: 1}, now); got != nil {
 			t.Fatalf("%v into the stop: %v", now.Sub(time.Unix(1000, 0)), got)
 		}
 	}
-	if got := m.next(event{kind: eventTick, inFlight: 1}, now); !slices.Equal(got, []action{actionRefuse}) {
-		t.Errorf("after the linger: %v", got)
+	if got := m.handle(event{kind: eventTick, inFlight: 1}, now); !slices.Equal(got, []action{actionRefuse}) {
+		t.Errorf("after the linger time: %v", got)
 	}
-	now = now.Add(tickTime)
-	if got := m.next(event{kind: eventTick, inFlight: 1}, now); got != nil || m.step != StepFinishing {
+	now = now.Add(tickInterval)
+	if got := m.handle(event{kind: eventTick, inFlight: 1}, now); got != nil || m.step != StepFinishing {
 		t.Errorf("with a request in flight: %v at %s", got, m.step)
 	}
-	if got := m.next(event{kind: eventTick}, now); !slices.Equal(got, []action{actionEnd}) {
-		t.Errorf("with nothing in flight: %v", got)
+	if got := m.handle(event{kind: eventTick}, now); !slices.Equal(got, []action{actionEnd}) {
+		t.Errorf("with no request in flight: %v", got)
 	}
 }
 
-// silentMembers are neighbors that never say that they know.
+// silentMembers are neighbors that never acknowledge.
 type silentMembers struct{}
 
 func (silentMembers) Leave(ctx context.Context) error {
@@ -48,14 +47,14 @@
 	return ctx.Err()
 }
 
-// idleCallers are callers without a request in flight.
+// idleCallers is a listener without requests in flight.
 type idleCallers struct{ refused bool }
 
 func (*idleCallers) InFlight() int     { return 0 }
 func (*idleCallers) CloseConnections() {}
 func (c *idleCallers) Refuse()         { c.refused = true }
 
-// noDocument is a source that has none.
+// noDocument is a config.Source without a document.
 type noDocument struct{}
 
 func (noDocument) Current() *config.Snapshot { return nil }
@@ -63,8 +62,9 @@
 	return func() {}
 }
 
-// A stop with a bound does not spend it on neighbors that are dead or cut off:
-// further requests are refused on time, so that those in flight can end.
+// A bounded stop must not use up its time waiting for neighbors that have
+// crashed or are partitioned: it refuses further requests in time, so that
+// those in flight can finish.
 func TestBoundedStopWithSilentNeighbors(t *testing.T) {
 	const grace = 6 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -77,8 +77,8 @@
 		if err := s.Drain(t.Context()); err != nil {
 			t.Error(err)
 		}
-		if took, most := time.Since(began), grace/2+2*tickTime; took > most || !callers.refused {
-			t.Errorf("the stop took %v, want %v at most; further requests were refused: %v", took, most, callers.refused)
+		if took, limit := time.Since(began), grace/2+2*tickInterval; took > limit || !callers.refused {
+			t.Errorf("the stop took %v, want %v at most; further requests were refused: %v", took, limit, callers.refused)
 		}
 	})
 }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -24,12 +24,12 @@
 func (c fixedConfig) Current() *config.Snapshot               { return c.snap }
 func (c fixedConfig) Subscribe(func(*config.Snapshot)) func() { return func() {} }
 
-// vm is a VM that callers may still be sent to.
+// vm implements Members and Callers of a VM that is being stopped.
 type vm struct {
-	inFlight atomic.Int64
-	closing  atomic.Bool
-	left     atomic.Bool
-	mute     bool // neighbors never acknowledge
+	inFlight       atomic.Int64
+	closing        atomic.Bool
+	left           atomic.Bool
+	unacknowledged bool // neighbors never acknowledge
 }
 
 func (v *vm) InFlight() int     { return int(v.inFlight.Load()) }
@@ -38,7 +38,7 @@
 func (v *vm) Refuse() {}
 func (v *vm) Leave(ctx context.Context) error {
 	v.left.Store(true)
-	if v.mute {
+	if v.unacknowledged {
 		<-ctx.Done()
 	}
 	return ctx.Err()
@@ -57,33 +57,33 @@
 	return NewService(Deps{Members: v, Callers: v, Config: fixedConfig{snap}, Clock: kernel.SystemClock{}, Logger: telemetry.Discard()})
 }
 
-// serve serves one request that begins and ends at these times.
-func (v *vm) serve(begin, length time.Duration) {
-	time.Sleep(begin)
+// serve serves one request that starts after delay and takes duration.
+func (v *vm) serve(delay, duration time.Duration) {
+	time.Sleep(delay)
 	v.inFlight.Add(1)
-	time.Sleep(length)
+	time.Sleep(duration)
 	v.inFlight.Add(-1)
 }
 
 func TestDrainCutsAndRefusesNothing(t *testing.T) {
 	tests := []struct {
-		name          string
-		mute          bool
-		begin, length time.Duration // of the last request
-		atLeast       time.Duration
+		name            string
+		unacknowledged  bool
+		delay, duration time.Duration // start and duration of the last request
+		atLeast         time.Duration
 	}{
-		{"idle", false, 0, 0, spreadTime + testMaxAge},
-		{"a request by a cached look-up", false, testMaxAge + spreadTime - time.Millisecond, time.Second, testMaxAge + spreadTime + time.Second},
+		{"idle", false, 0, 0, propagationTime + testMaxAge},
+		{"a request after a cached look-up", false, testMaxAge + propagationTime - time.Millisecond, time.Second, testMaxAge + propagationTime + time.Second},
 		{"an upload of half a minute", false, 0, 30 * time.Second, 30 * time.Second},
-		{"one longer than the grace", false, 0, 3 * testGrace, 3 * testGrace},
-		{"neighbors cut off", true, 0, 0, leaveTimeout + spreadTime + testMaxAge},
+		{"a request longer than drain.grace_ms", false, 0, 3 * testGrace, 3 * testGrace},
+		{"partitioned neighbors", true, 0, 0, maxLeaveTimeout + propagationTime + testMaxAge},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v := &vm{mute: tt.mute}
+				v := &vm{unacknowledged: tt.unacknowledged}
 				start := time.Now()
-				go v.serve(tt.begin, tt.length)
+				go v.serve(tt.delay, tt.duration)
 				if err := newService(t, v).Drain(t.Context()); err != nil {
 					t.Fatal(err)
 				}
@@ -94,7 +94,7 @@
 					t.Errorf("took %v, want %v", took, tt.atLeast)
 				}
 				if !v.left.Load() || !v.closing.Load() {
-					t.Error("the others were not told, or connections were kept")
+					t.Error("the stop was not announced, or connections were kept")
 				}
 			})
 		})
@@ -114,27 +114,27 @@
 	})
 }
 
-// Every event at every step: the machine ends only when nothing is in flight
+// For every event at every step, the stop ends only when no request is in flight
 // and no look-up names this VM, or when it is forced.
 func TestMachineAtEveryStep(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, step := range Steps() {
-		for kind := eventBegin; kind <= eventForce; kind++ {
+		for kind := eventStopRequested; kind <= eventForce; kind++ {
 			for _, inFlight := range []int{0, 1} {
-				for _, lingered := range []bool{false, true} {
-					m := newMachine(times{maxAge: testMaxAge, spread: spreadTime, grace: testGrace})
-					m.step, m.report = step, now
-					m.linger = now.Add(time.Second)
-					if lingered {
-						m.linger = now
+				for _, lingerOver := range []bool{false, true} {
+					m := newStateMachine(stopParams{lookupMaxAge: testMaxAge, propagation: propagationTime, reportInterval: testGrace})
+					m.step, m.nextReport = step, now
+					m.lingerUntil = now.Add(time.Second)
+					if lingerOver {
+						m.lingerUntil = now
 					}
-					got := m.next(event{kind: kind, inFlight: inFlight}, now)
+					got := m.handle(event{kind: kind, inFlight: inFlight}, now)
 					ended := slices.Contains(got, actionEnd)
-					over := step == StepEnded || step == StepForced
-					free := inFlight == 0 && (step == StepFinishing || step == StepLingering && lingered)
-					want := !over && (kind == eventForce || kind == eventTick && free)
+					finished := step == StepEnded || step == StepForced
+					canEnd := inFlight == 0 && (step == StepFinishing || step == StepLingering && lingerOver)
+					want := !finished && (kind == eventForce || kind == eventTick && canEnd)
 					if ended != want {
-						t.Errorf("step %s, event %d, in flight %d, lingered %v: ended %v", step, kind, inFlight, lingered, ended)
+						t.Errorf("step %s, event %d, in flight %d, linger over %v: ended %v", step, kind, inFlight, lingerOver, ended)
 					}
 				}
 			}
--- a/internal/drain/machine.go
+++ b/internal/drain/machine.go
@@ -1,6 +1,6 @@
 // Package drain takes this VM out of service without cutting or refusing a
-// request: look-ups stop naming it, it serves on until the last cached look-up
-// has expired and nothing is in flight, and only then it ends.
+// request. Look-ups stop naming the VM. It serves until the last cached look-up
+// has expired and no request is in flight, and only then stops.
 package drain
 
 import "time"
@@ -11,83 +11,85 @@
 // The steps of a planned stop, in order. StepForced can follow any of them.
 const (
 	StepServing   Step = "serving"   // no stop requested
-	StepLeaving   Step = "leaving"   // the stop is being announced
-	StepLingering Step = "lingering" // callers may still hold look-ups that name this VM
-	StepFinishing Step = "finishing" // requests in flight finish
-	StepEnded     Step = "ended"     // nothing is in flight
-	StepForced    Step = "forced"    // requests in flight are cut
+	StepLeaving   Step = "leaving"   // the stop is being announced to the other VMs
+	StepLingering Step = "lingering" // callers may still use cached look-ups that name this VM
+	StepFinishing Step = "finishing" // waiting for requests in flight
+	StepEnded     Step = "ended"     // no request is in flight
+	StepForced    Step = "forced"    // ended early; requests in flight are cut
 )
 
-// Steps lists the steps of a planned stop.
+// Steps returns all steps of a planned stop.
 func Steps() []Step {
 	return []Step{StepServing, StepLeaving, StepLingering, StepFinishing, StepEnded, StepForced}
 }
 
-// eventKind is what happened.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
-	eventBegin     eventKind = iota // a stop was requested
-	eventAnnounced                  // the other VMs know, or the time for it is over
-	eventTick                       // some time has passed
-	eventForce                      // the stop is to end now
+	eventStopRequested eventKind = iota // a stop was requested
+	eventAnnounced                      // the other VMs acknowledged, or the wait timed out
+	eventTick                           // a tick interval has passed
+	eventForce                          // the stop must end now
 )
 
-// event is an input of the machine.
+// event is an input of the state machine.
 type event struct {
 	kind     eventKind
-	inFlight int // requests being served, for eventTick and eventForce
+	inFlight int // number of requests in flight, for eventTick and eventForce
 }
 
-// action is an output of the machine.
+// action is an output of the state machine.
 type action uint8
 
 const (
 	actionAnnounce         action = iota + 1 // announce the stop to the other VMs
-	actionCloseConnections                   // close the connection with each answer
-	actionReport                             // log the requests in flight
-	actionEnd                                // the stop is over
+	actionCloseConnections                   // close connections of callers after their next answer
+	actionLogInFlight                        // log the number of requests in flight
+	actionEnd                                // end the stop
 	actionRefuse                             // refuse further requests
 )
 
-// times are the durations a stop follows.
-type times struct {
-	maxAge time.Duration // how long callers may keep a look-up
-	spread time.Duration // until the last VM has stopped naming this one, once neighbors know
-	refuse bool          // the stop has a bound: after the linger no request is taken
-	grace  time.Duration // after which what is still in flight is reported, each time it passes
+// stopParams are the parameters of a stop. If it is bounded, propagation is its linger time.
+type stopParams struct {
+	lookupMaxAge   time.Duration // how long callers may cache a look-up
+	propagation    time.Duration // from the neighbors' acknowledgment until no VM names this one in look-ups
+	bounded        bool          // the stop is limited in time: requests are refused after the linger time
+	reportInterval time.Duration // interval of logging the requests in flight
 }
 
-// machine decides the steps of one stop. It does no I/O. It never cuts a
-// request by itself, however long that takes: only eventForce does.
-type machine struct {
-	times  times
-	step   Step
-	began  time.Time
-	linger time.Time // until when look-ups may name this VM
-	report time.Time
-	last   time.Time // of the last tick
-	settle time.Time // until when requests that waited during a pause of the process may begin
+// stateMachine decides the steps of one stop. It does no I/O. It waits for
+// requests in flight without a limit; only eventForce ends the stop earlier.
+type stateMachine struct {
+	params      stopParams
+	step        Step
+	began       time.Time
+	lingerUntil time.Time // time until which look-ups may name this VM
+	nextReport  time.Time
+	lastTick    time.Time // time of the last tick
+	settleUntil time.Time // time until which requests that waited during a pause of the process may start
 }
 
-func newMachine(t times) *machine { return &machine{times: t, step: StepServing} }
+func newStateMachine(p stopParams) *stateMachine {
+	return &stateMachine{params: p, step: StepServing}
+}
 
-// next handles an event and returns the actions, in order.
-func (m *machine) next(e event, now time.Time) []action {
+// handle applies an event and returns the actions to take, in order.
+func (m *stateMachine) handle(e event, now time.Time) []action {
 	switch {
 	case m.step == StepEnded || m.step == StepForced:
 		return nil
 	case e.kind == eventForce:
 		return m.force(e)
-	case e.kind == eventBegin && m.step == StepServing:
+	case e.kind == eventStopRequested && m.step == StepServing:
 		m.step = StepLeaving
 		m.began = now
-		m.report = now.Add(m.times.grace)
+		m.nextReport = now.Add(m.params.reportInterval)
 		return []action{actionAnnounce}
 	case e.kind == eventAnnounced && m.step == StepLeaving:
 		m.step = StepLingering
-		m.last = now
-		m.linger = m.lingerFrom(now).Add(m.times.spread + m.times.maxAge)
+		m.lastTick = now
+		m.lingerUntil = m.lingerStart(now).Add(m.params.propagation + m.params.lookupMaxAge)
 		return []action{actionCloseConnections}
 	case e.kind == eventTick:
 		return m.tick(e, now)
@@ -95,47 +97,48 @@
 	return nil
 }
 
-// lingerFrom returns when the time to linger begins: with the stop where the
-// stop has a bound, else when the neighbors know.
-func (m *machine) lingerFrom(announced time.Time) time.Time {
-	if m.times.refuse {
+// lingerStart returns the start of the linger time: that of the stop if it is
+// bounded, else the time when the neighbors acknowledged.
+func (m *stateMachine) lingerStart(announced time.Time) time.Time {
+	if m.params.bounded {
 		return m.began
 	}
 	return announced
 }
 
-func (m *machine) force(e event) []action {
+func (m *stateMachine) force(e event) []action {
 	m.step = StepForced
 	if e.inFlight > 0 {
-		return []action{actionReport, actionEnd}
+		return []action{actionLogInFlight, actionEnd}
 	}
 	return []action{actionEnd}
 }
 
-// recordPause sets when requests that callers sent while the process stood
-// still, and that wait in its sockets, must have begun.
-func (m *machine) recordPause(now time.Time) {
-	if !m.last.IsZero() && now.Sub(m.last) > pauseLimit {
-		m.settle = now.Add(settleTime)
+// detectPause detects a pause of the process from a gap between ticks. Requests
+// sent during a pause wait in the sockets and are not counted as in flight yet,
+// so it sets the time until which they may start.
+func (m *stateMachine) detectPause(now time.Time) {
+	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > maxTickGap {
+		m.settleUntil = now.Add(settleTime)
 	}
-	m.last = now
+	m.lastTick = now
 }
 
-func (m *machine) tick(e event, now time.Time) []action {
-	m.recordPause(now)
-	if m.step == StepLingering && !now.Before(m.linger) {
+func (m *stateMachine) tick(e event, now time.Time) []action {
+	m.detectPause(now)
+	if m.step == StepLingering && !now.Before(m.lingerUntil) {
 		m.step = StepFinishing
-		if m.times.refuse {
+		if m.params.bounded {
 			return []action{actionRefuse}
 		}
 	}
-	if m.step == StepFinishing && e.inFlight == 0 && !now.Before(m.settle) {
+	if m.step == StepFinishing && e.inFlight == 0 && !now.Before(m.settleUntil) {
 		m.step = StepEnded
 		return []action{actionEnd}
 	}
-	if m.step != StepServing && e.inFlight > 0 && now.After(m.report) {
-		m.report = now.Add(m.times.grace)
-		return []action{actionReport}
+	if m.step != StepServing && e.inFlight > 0 && now.After(m.nextReport) {
+		m.nextReport = now.Add(m.params.reportInterval)
+		return []action{actionLogInFlight}
 	}
 	return nil
 }
