--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -1,5 +1,5 @@
 // Package digest identifies requests by their content: method, host, path with
-// query, the caller's credentials, and the body, whatever its framing.
+// query, the caller's credentials, and the body regardless of its framing.
 package digest
 
 import (
@@ -15,19 +15,20 @@
 // Size is the length of a Digest in bytes.
 const Size = 16
 
-// BodyMost is how many bytes of a body count; what follows is not looked at.
+// BodyMost is the maximum number of body bytes that a digest covers. Bytes beyond
+// it are ignored.
 const BodyMost = 16 << 20
 
-// LeadBytes is how much of a body the digest of its beginning covers.
-const LeadBytes = 4 << 10
+// PrefixBytes is the number of body bytes that Body.Lead covers.
+const PrefixBytes = 4 << 10
 
-// Digest identifies a request. It is the beginning of a SHA-256 sum.
+// Digest identifies a request. It is a SHA-256 sum truncated to Size bytes.
 type Digest [Size]byte
 
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Parse reads what String returns.
+// Parse parses the hexadecimal form that String returns.
 func Parse(text string) (Digest, error) {
 	var d Digest
 	raw, err := hex.DecodeString(text)
@@ -38,7 +39,7 @@
 	return d, nil
 }
 
-// FromBytes returns the digest whose bytes these are.
+// FromBytes converts raw bytes to a Digest. It fails unless there are Size of them.
 func FromBytes(raw []byte) (Digest, error) {
 	if len(raw) != Size {
 		return Digest{}, trace.BadParameter("digest of %d bytes, want %d", len(raw), Size)
@@ -46,95 +47,98 @@
 	return Digest(raw), nil
 }
 
-// Head identifies a request without its body.
+// Head is a SHA-256 sum that identifies a request without its body.
 type Head [sha256.Size]byte
 
-// Key is the short form of a head, by which requests are looked up.
+// Key returns the head truncated to a Digest, for use as a lookup key.
 func (h Head) Key() Digest { return Digest(h[:Size]) }
 
-// HeadOf returns the identity of a request's head. The host is compared without
-// regard to case (RFC 9110, section 4.2.3). Caller holds the values of the headers
-// by which the caller is known.
+// HeadOf hashes a request's head. The host is case-insensitive (RFC 9110, section
+// 4.2.3). Caller holds the values of the headers that identify the caller.
 func HeadOf(method, host, uri string, caller ...string) Head {
 	sum := sha256.New()
-	writePart(sum, method)
-	writePart(sum, strings.ToLower(host))
-	writePart(sum, uri)
+	writeLengthPrefixed(sum, method)
+	writeLengthPrefixed(sum, strings.ToLower(host))
+	writeLengthPrefixed(sum, uri)
 	for _, c := range caller {
-		writePart(sum, c)
+		writeLengthPrefixed(sum, c)
 	}
 	var head Head
 	sum.Sum(head[:0])
 	return head
 }
 
-// writePart writes a part with its length, so that no two lists of parts are the
-// same bytes.
-func writePart(sum hash.Hash, part string) {
+// writeLengthPrefixed hashes a part preceded by its length, so that different lists
+// of parts never produce the same input.
+func writeLengthPrefixed(sum hash.Hash, part string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 	_, _ = sum.Write(length[:])
 	_, _ = sum.Write([]byte(part))
 }
 
-// Domains of what is hashed after a head.
+// Domain separators, hashed between the head and the body.
 const (
-	domainWhole = 0
-	domainLead  = 1
+	domainFull   = 0
+	domainPrefix = 1
 )
 
-func (h Head) start(domain byte) hash.Hash {
+// newHash starts a digest of the head and the body that follows.
+func (h Head) newHash(domain byte) hash.Hash {
 	sum := sha256.New()
 	_, _ = sum.Write(h[:])
 	_, _ = sum.Write([]byte{domain})
 	return sum
 }
 
-func finish(sum hash.Hash) Digest {
-	var whole [sha256.Size]byte
-	sum.Sum(whole[:0])
-	return Digest(whole[:Size])
+// truncatedSum returns the current sum without changing the hash's state.
+func truncatedSum(sum hash.Hash) Digest {
+	var sum256 [sha256.Size]byte
+	sum.Sum(sum256[:0])
+	return Digest(sum256[:Size])
 }
 
-// Of returns the digest of a request with this body.
+// Of returns the digest of the request with the given body.
 func (h Head) Of(body []byte) Digest {
-	sum := h.start(domainWhole)
+	sum := h.newHash(domainFull)
 	_, _ = sum.Write(body[:min(len(body), BodyMost)])
-	return finish(sum)
+	return truncatedSum(sum)
 }
 
-// Body digests a body that arrives in pieces. It is not safe for concurrent use.
+// Body computes a request's digest while its body is streamed. It is an io.Writer
+// and is not safe for concurrent use.
 type Body struct {
-	whole hash.Hash
-	lead  hash.Hash
-	n     int64
+	full   hash.Hash
+	prefix hash.Hash
+	n      int64
 }
 
-// Body returns the digest of a request whose body is still to come.
+// Body returns a hasher for a request whose body has not been read yet.
 func (h Head) Body() *Body {
-	return &Body{whole: h.start(domainWhole), lead: h.start(domainLead)}
+	return &Body{full: h.newHash(domainFull), prefix: h.newHash(domainPrefix)}
 }
 
-// Write takes in a piece of the body. It never fails.
+// Write adds the next bytes of the body. It never returns an error.
 func (b *Body) Write(p []byte) (int, error) {
-	if left := LeadBytes - b.n; left > 0 {
-		_, _ = b.lead.Write(p[:min(int64(len(p)), left)])
+	if left := PrefixBytes - b.n; left > 0 {
+		_, _ = b.prefix.Write(p[:min(int64(len(p)), left)])
 	}
 	if left := BodyMost - b.n; left > 0 {
-		_, _ = b.whole.Write(p[:min(int64(len(p)), left)])
+		_, _ = b.full.Write(p[:min(int64(len(p)), left)])
 	}
 	b.n += int64(len(p))
 	return len(p), nil
 }
 
-// Whole returns the digest of the request whose body ends here.
-func (b *Body) Whole() Digest { return finish(b.whole) }
+// Whole returns the digest of the request, taking the bytes written so far as its
+// entire body.
+func (b *Body) Whole() Digest { return truncatedSum(b.full) }
 
-// Lead returns the digest of the request's head and the first LeadBytes of its
-// body; ok is false before so many have arrived.
+// Lead returns the digest of the request's head and the first PrefixBytes of its
+// body. ok is false if fewer bytes have been written.
 func (b *Body) Lead() (d Digest, ok bool) {
-	if b.n < LeadBytes {
+	if b.n < PrefixBytes {
 		return Digest{}, false
 	}
-	return finish(b.lead), true
+	return truncatedSum(b.prefix), true
 }
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -14,9 +14,9 @@
 	return HeadOf(r.method, r.host, r.uri, r.caller).Of([]byte(r.body))
 }
 
-func TestRequestsThatDifferInOnePartDiffer(t *testing.T) {
+func TestDigestDependsOnEveryPart(t *testing.T) {
 	base := request{"POST", "one.example", "/p/a?q=1", "Bearer x", "body"}
-	seen := map[Digest]string{base.digest(): "the base"}
+	seen := map[Digest]string{base.digest(): "base"}
 	for name, r := range map[string]request{
 		"method":      {"PUT", "one.example", "/p/a?q=1", "Bearer x", "body"},
 		"host":        {"POST", "two.example", "/p/a?q=1", "Bearer x", "body"},
@@ -27,53 +27,53 @@
 		"body":        {"POST", "one.example", "/p/a?q=1", "Bearer x", "bodx"},
 		"longer body": {"POST", "one.example", "/p/a?q=1", "Bearer x", "body "},
 		"no body":     {"POST", "one.example", "/p/a?q=1", "Bearer x", ""},
-		"moved bytes": {"POST", "one.example/p", "/a?q=1", "Bearer x", "body"},
+		"byte moved":  {"POST", "one.example/p", "/a?q=1", "Bearer x", "body"},
 	} {
 		if other, ok := seen[r.digest()]; ok {
-			t.Errorf("%s: the same digest as %s", name, other)
+			t.Errorf("%s: same digest as %s", name, other)
 		}
 		seen[r.digest()] = name
 	}
 	same := request{"POST", "ONE.example", "/p/a?q=1", "Bearer x", "body"}
 	if same.digest() != base.digest() {
-		t.Error("the case of the host counts")
+		t.Error("digest depends on the case of the host")
 	}
 }
 
-func TestPiecesOfABodyDoNotMatter(t *testing.T) {
+func TestDigestIndependentOfWriteSizes(t *testing.T) {
 	head := HeadOf("POST", "one.example", "/p/")
 	random := rand.New(rand.NewPCG(1, 1))
-	for _, length := range []int{0, 1, LeadBytes - 1, LeadBytes, 3*LeadBytes + 7} {
+	for _, length := range []int{0, 1, PrefixBytes - 1, PrefixBytes, 3*PrefixBytes + 7} {
 		body := make([]byte, length)
 		for i := range body {
 			body[i] = byte(random.Uint32())
 		}
-		pieces := head.Body()
+		streamed := head.Body()
 		for rest := body; len(rest) > 0; {
 			n := 1 + random.IntN(len(rest))
-			_, _ = pieces.Write(rest[:n])
+			_, _ = streamed.Write(rest[:n])
 			rest = rest[n:]
 		}
-		if pieces.Whole() != head.Of(body) {
-			t.Errorf("%d bytes: another digest in pieces", length)
+		if streamed.Whole() != head.Of(body) {
+			t.Errorf("%d bytes: streamed digest differs from Of", length)
 		}
-		lead, ok := pieces.Lead()
-		if ok != (length >= LeadBytes) {
-			t.Errorf("%d bytes: lead known: %v", length, ok)
+		lead, ok := streamed.Lead()
+		if ok != (length >= PrefixBytes) {
+			t.Errorf("%d bytes: Lead returned ok = %v", length, ok)
 		}
-		if ok && lead == head.Of(body[:LeadBytes]) {
-			t.Errorf("%d bytes: the beginning of a body is taken for a whole one", length)
+		if ok && lead == head.Of(body[:PrefixBytes]) {
+			t.Errorf("%d bytes: digest of a prefix equals that of a complete body", length)
 		}
 	}
 }
 
-func TestLongBodiesCountUpToABound(t *testing.T) {
+func TestDigestIgnoresBodyBeyondLimit(t *testing.T) {
 	head := HeadOf("POST", "one.example", "/p/")
 	long := bytes.Repeat([]byte("x"), BodyMost+1)
-	pieces := head.Body()
-	_, _ = pieces.Write(long)
-	if head.Of(long) != head.Of(long[:BodyMost]) || pieces.Whole() != head.Of(long) {
-		t.Error("what follows the bound counts")
+	streamed := head.Body()
+	_, _ = streamed.Write(long)
+	if head.Of(long) != head.Of(long[:BodyMost]) || streamed.Whole() != head.Of(long) {
+		t.Error("digest depends on bytes beyond BodyMost")
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	for _, bad := range []string{"", "00", d.String() + "00", "zz" + d.String()[2:]} {
 		if _, err := Parse(bad); err == nil {
-			t.Errorf("%q is read", bad)
+			t.Errorf("Parse(%q) succeeded", bad)
 		}
 	}
 }
