--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -1,5 +1,5 @@
-// Package customer identifies callers by their API keys and holds what the operators' document
-// grants to each customer.
+// Package customer identifies customers by their API keys and holds the settings that the
+// configuration document defines for each of them.
 package customer
 
 import (
@@ -8,14 +8,15 @@
 	"slices"
 )
 
-// KeyDigest stands for an API key. It is salted by the process, so that it is of no use elsewhere.
+// KeyDigest is a salted hash of an API key. The salt differs per process, so that a leaked digest
+// is of no use elsewhere.
 type KeyDigest [sha256.Size]byte
 
-// salt is drawn once per process.
+// salt is generated once per process.
 var salt = newSalt()
 
 func newSalt() (s [sha256.Size]byte) {
-	_, _ = rand.Read(s[:]) // never fails
+	_, _ = rand.Read(s[:]) // never returns an error
 	return s
 }
 
@@ -29,7 +30,7 @@
 	return d
 }
 
-// redacted replaces keys and their digests in texts.
+// redacted is printed in place of keys and their digests.
 const redacted = "(redacted)"
 
 // String hides the digest.
@@ -41,25 +42,26 @@
 // MarshalText hides the digest.
 func (KeyDigest) MarshalText() ([]byte, error) { return []byte(redacted), nil }
 
-// Customer is one customer of the document.
+// Customer holds the settings of one customer.
 type Customer struct {
 	Name           string
 	Keys           []KeyDigest `json:"-"`
-	Class          string      // class of its requests; empty: the rule's
-	AllowedRegions []string    // regions its requests may run in; empty: all
+	Class          string      // request class; empty: the class of the matching rule
+	AllowedRegions []string    // regions in which its requests may run; empty: all
 	Limit          Limit
 }
 
-// Limit is a customer's rate limit over all VMs.
+// Limit is a customer's rate limit across all VMs.
 type Limit struct {
 	PerSecond float64 // requests/s; 0: no limit
-	Burst     float64 // requests beyond the rate
+	Burst     float64 // requests allowed beyond the rate
 }
 
 // Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
-// Directory finds customers by their keys. It is immutable.
+// Directory looks up customers by key or name. It is immutable. The methods other than ByKey
+// accept a nil Directory, which has no customers.
 type Directory struct {
 	customers []Customer
 	byKey     map[KeyDigest]*Customer
@@ -67,7 +69,7 @@
 	limited   bool
 }
 
-// NewDirectory indexes customers that passed Check.
+// NewDirectory indexes customers, which must have passed Check.
 func NewDirectory(customers []Customer) *Directory {
 	d := &Directory{
 		customers: customers,
@@ -85,13 +87,13 @@
 	return d
 }
 
-// Required reports whether requests need a key, which is so once there are customers.
+// Required reports whether requests need a key, which is the case if any customer exists.
 func (d *Directory) Required() bool { return d != nil && len(d.customers) > 0 }
 
 // Limited reports whether any customer has a rate limit.
 func (d *Directory) Limited() bool { return d != nil && d.limited }
 
-// ByKey returns the customer that holds a key, or nil.
+// ByKey returns the customer that owns a key, or nil if there is none or the key is empty.
 func (d *Directory) ByKey(key string) *Customer {
 	if key == "" {
 		return nil
@@ -99,7 +101,7 @@
 	return d.byKey[DigestOf(key)]
 }
 
-// ByName returns a customer, or nil.
+// ByName returns the customer with a name, or nil.
 func (d *Directory) ByName(name string) *Customer {
 	if d == nil {
 		return nil
@@ -107,7 +109,7 @@
 	return d.byName[name]
 }
 
-// All returns the customers in the document's order.
+// All returns the customers in document order. The slice must not be modified.
 func (d *Directory) All() []Customer {
 	if d == nil {
 		return nil
@@ -115,8 +117,9 @@
 	return d.customers
 }
 
-// CommonRegions returns the regions that two lists of allowed regions have in common, where an
-// empty list allows all. The result is nil if all are allowed; ok is false if none is.
+// CommonRegions returns the intersection of two lists of allowed regions, where an empty list
+// allows all regions. The result is empty with ok true if all regions are allowed; ok is false if
+// none is.
 func CommonRegions(a, b []string) (common []string, ok bool) {
 	switch {
 	case len(a) == 0:
--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -27,15 +27,15 @@
 			got = c.Name
 		}
 		if got != want {
-			t.Errorf("key %q is held by %q, want %q", key, got, want)
+			t.Errorf("key %q belongs to %q, want %q", key, got, want)
 		}
 	}
 	if d.ByName("b") == nil || d.ByName("c") != nil || !d.Required() || !d.Limited() {
-		t.Error("customers are not found by name")
+		t.Error("look-ups by name or the flags of the directory are wrong")
 	}
-	var none *Directory
-	if none.Required() || none.Limited() || none.ByName("a") != nil || len(none.All()) > 0 {
-		t.Error("no directory has customers")
+	var nilDirectory *Directory
+	if nilDirectory.Required() || nilDirectory.Limited() || nilDirectory.ByName("a") != nil || len(nilDirectory.All()) > 0 {
+		t.Error("a nil directory has customers")
 	}
 }
 
@@ -51,21 +51,21 @@
 	hex := fmt.Sprintf("%x", c.Keys[0][:])
 	for _, text := range []string{string(raw), fmt.Sprint(c), fmt.Sprintf("%+v", c), fmt.Sprintf("%#v", c), c.Keys[0].String()} {
 		if strings.Contains(text, hex) || strings.Contains(text, "secret-key") {
-			t.Errorf("%s shows a key or its digest", text)
+			t.Errorf("%s contains a key or its digest", text)
 		}
 	}
 }
 
-func TestCheckNamesAllFaults(t *testing.T) {
+func TestCheckReportsAllInvalidFields(t *testing.T) {
 	tests := map[string]struct {
 		customers []Customer
 		fields    []string
 	}{
-		"right":             {[]Customer{{Name: "a", Keys: []KeyDigest{DigestOf("1"), DigestOf("1")}}, {Name: "b"}}, nil},
-		"key of two":        {[]Customer{{Name: "a", Keys: []KeyDigest{DigestOf("1")}}, {Name: "b", Keys: []KeyDigest{DigestOf("1")}}}, []string{"1.keys"}},
+		"valid":             {[]Customer{{Name: "a", Keys: []KeyDigest{DigestOf("1"), DigestOf("1")}}, {Name: "b"}}, nil},
+		"shared key":        {[]Customer{{Name: "a", Keys: []KeyDigest{DigestOf("1")}}, {Name: "b", Keys: []KeyDigest{DigestOf("1")}}}, []string{"1.keys"}},
 		"empty key":         {[]Customer{{Name: "a", Keys: []KeyDigest{DigestOf("")}}}, []string{"0.keys"}},
 		"empty name":        {[]Customer{{}}, []string{"0.name"}},
-		"name twice":        {[]Customer{{Name: "a"}, {Name: "a"}}, []string{"1.name"}},
+		"duplicate name":    {[]Customer{{Name: "a"}, {Name: "a"}}, []string{"1.name"}},
 		"name with newline": {[]Customer{{Name: "a\r\nX: y"}}, []string{"0.name"}},
 		"negative numbers":  {[]Customer{{Name: "a", Limit: Limit{-1, -1}}}, []string{"0.rate", "0.burst"}},
 		"many":              {[]Customer{{}, {Name: "a", Limit: Limit{Burst: -1}}, {Name: "a"}}, []string{"0.name", "1.burst", "2.name"}},
@@ -76,7 +76,7 @@
 			fields = append(fields, f.Field)
 		}
 		if !slices.Equal(fields, tt.fields) {
-			t.Errorf("%s: faults of %v, want %v", name, fields, tt.fields)
+			t.Errorf("%s: invalid fields %v, want %v", name, fields, tt.fields)
 		}
 	}
 }
@@ -95,24 +95,24 @@
 	for _, tt := range tests {
 		got, ok := CommonRegions(tt.a, tt.b)
 		if !slices.Equal(got, tt.want) || ok != tt.ok {
-			t.Errorf("%v and %v have %v, %t in common", tt.a, tt.b, got, ok)
+			t.Errorf("CommonRegions(%v, %v) = %v, %t", tt.a, tt.b, got, ok)
 		}
 	}
 }
 
-func TestGuardRefusesKeysOfAnOldDocument(t *testing.T) {
+func TestGuardRefusesKeysWhenDocumentIsTooOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bound = 5 * time.Second
-		var age, announced atomic.Int64
-		announced.Store(1)
+		var age, announcedServing atomic.Int64
+		announcedServing.Store(1)
 		g := NewGuard(GuardDeps{
 			Revocation: bound,
 			Age:        func() time.Duration { return time.Duration(age.Load()) },
 			Keyed:      func() bool { return true },
 			Announce: func(serves bool) {
-				announced.Store(0)
+				announcedServing.Store(0)
 				if serves {
-					announced.Store(1)
+					announcedServing.Store(1)
 				}
 			},
 			Logger:  telemetry.Discard(),
@@ -127,11 +127,11 @@
 		}{{0, true}, {bound / 2, true}, {bound, false}, {time.Hour, false}, {time.Second, true}} {
 			age.Store(int64(step.age))
 			if g.Current() != step.serves {
-				t.Errorf("at an age of %v keys are used: %t", step.age, g.Current())
+				t.Errorf("document age %v: Current() = %t", step.age, g.Current())
 			}
 			time.Sleep(2 * guardInterval)
-			if (announced.Load() == 1) != step.serves {
-				t.Errorf("at an age of %v it is announced that keys are served: %d", step.age, announced.Load())
+			if (announcedServing.Load() == 1) != step.serves {
+				t.Errorf("document age %v: announced state %d", step.age, announcedServing.Load())
 			}
 		}
 		_ = g.Stop(context.Background())
@@ -141,6 +141,6 @@
 func TestGuardWithoutBound(t *testing.T) {
 	g := NewGuard(GuardDeps{Age: func() time.Duration { return time.Hour }})
 	if !g.Current() {
-		t.Error("keys are refused though there is no bound")
+		t.Error("keys are refused although Revocation is 0")
 	}
 }
--- a/internal/customer/guard.go
+++ b/internal/customer/guard.go
@@ -16,49 +16,51 @@
 const GuardName = "customer.guard"
 
 const (
-	// guardMargin covers the drift between the clocks of a VM and the store.
+	// guardMargin allows for clock drift between a VM and the store.
 	guardMargin = 50 * time.Millisecond
-	// guardInterval is the interval at which the guard announces whether this VM serves keys.
+	// guardInterval is the interval at which the guard checks whether keys may be used, and
+	// announces changes.
 	guardInterval = 100 * time.Millisecond
 )
 
-// GuardDeps is what a Guard needs.
+// GuardDeps are the dependencies of a Guard.
 type GuardDeps struct {
-	// Revocation is the time after which a removed key must be refused by every VM; 0: no bound.
+	// Revocation is the time within which every VM must refuse a removed key; 0: no bound.
 	Revocation time.Duration
-	// Age returns the greatest age that this VM's document may have. Time for which the machine was
-	// suspended counts.
+	// Age returns an upper bound on the age of this VM's document, including time during which
+	// the VM was suspended.
 	Age func() time.Duration
 	// Keyed reports whether the document has customers.
 	Keyed func() bool
-	// Announce publishes to the other VMs whether this one serves requests with keys.
+	// Announce tells the other VMs whether this one serves requests with keys.
 	Announce func(serves bool)
 	Logger   *telemetry.Logger
 	Metrics  *metrics.Set
 }
 
-// Guard allows keys to be used only while this VM can prove that it would know of their removal.
+// Guard allows the use of keys only while this VM's document is recent enough to include every key
+// removal that must already be enforced.
 type Guard struct {
-	deps    GuardDeps
-	limit   time.Duration
-	cancel  context.CancelFunc
-	done    chan struct{}
-	refuses atomic.Bool // as announced
+	deps              GuardDeps
+	maxAge            time.Duration
+	cancel            context.CancelFunc
+	done              chan struct{}
+	announcedRefusing atomic.Bool // the state that was last announced
 }
 
 var _ kernel.Service = (*Guard)(nil)
 
-// NewGuard returns a guard.
+// NewGuard returns a Guard. If there is a bound, it registers the gauge of the document's age.
 func NewGuard(d GuardDeps) *Guard {
 	if d.Revocation > 0 {
 		d.Metrics.GetOrCreateGauge("masticturn_document_age_seconds", func() float64 { return d.Age().Seconds() })
 	}
-	return &Guard{deps: d, limit: d.Revocation - guardMargin, done: make(chan struct{})}
+	return &Guard{deps: d, maxAge: d.Revocation - guardMargin, done: make(chan struct{})}
 }
 
-// Current reports whether keys may be used. It must be called after the request was received and
-// before the document that decides on it is loaded.
-func (g *Guard) Current() bool { return g.deps.Revocation == 0 || g.deps.Age() < g.limit }
+// Current reports whether keys may be used. For each request, it must be called after the request
+// was received and before the document by which the request is judged is loaded.
+func (g *Guard) Current() bool { return g.deps.Revocation == 0 || g.deps.Age() < g.maxAge }
 
 // Provision implements kernel.Service.
 func (g *Guard) Provision(*kernel.Kernel) error { return nil }
@@ -77,15 +79,15 @@
 	}
 }
 
-// check announces a change. A VM without customers refuses nothing.
+// check announces and logs a change of state. Without customers no key is refused.
 func (g *Guard) check() {
-	refuses := g.deps.Keyed() && !g.Current()
-	if g.refuses.Swap(refuses) == refuses {
+	refusing := g.deps.Keyed() && !g.Current()
+	if g.announcedRefusing.Swap(refusing) == refusing {
 		return
 	}
-	g.deps.Announce(!refuses)
+	g.deps.Announce(!refusing)
 	event := eventKeysServed
-	if refuses {
+	if refusing {
 		event = eventKeysRefused
 	}
 	g.deps.Logger.Log(event, telemetry.Value("age_ms", g.deps.Age().Milliseconds()))
