--- a/internal/entry/choose.go
+++ b/internal/entry/choose.go
@@ -6,26 +6,27 @@
 	"masticturn/internal/membership"
 )
 
-// maxNamed is the number of VMs in an answer, as many as callers use.
-const maxNamed = 64
+// maxAddresses is the maximum number of VMs in a response. Callers use no more than that.
+const maxAddresses = 64
 
-// candidates are VMs that may be named to callers of a region.
+// candidates are the caller addresses of VMs that a look-up for a region may return.
 type candidates struct {
-	local    []string // of the region
-	all      []string
-	refusing []string // of the region, that serve only public routes
+	local      []string // VMs of the region
+	all        []string // VMs of all regions
+	publicOnly []string // VMs of the region that refuse requests with keys
 }
 
-// Choose returns the caller addresses of VMs for callers of a region: its live VMs, or those of all
-// regions if it has none. VMs that refuse keys are named only if all do. Callers pick one at random,
-// so that a VM's failure affects an equal share. In large regions the answers rotate over all VMs.
+// Choose returns the caller addresses of VMs for callers of a region: the region's live VMs, or
+// those of all regions if it has none. VMs that refuse keys are returned only if all live VMs do.
+// Callers pick an address at random, so that the failure of a VM affects an equal share of them. If
+// there are more than maxAddresses, each call returns a random subset, which covers all VMs over time.
 func Choose(v *membership.View, region string) []string {
-	named := candidatesOf(v, region).preferred()
-	if len(named) <= maxNamed {
-		return named
+	addresses := candidatesOf(v, region).preferred()
+	if len(addresses) <= maxAddresses {
+		return addresses
 	}
-	rand.Shuffle(len(named), func(i, j int) { named[i], named[j] = named[j], named[i] })
-	return named[:maxNamed]
+	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	return addresses[:maxAddresses]
 }
 
 func candidatesOf(v *membership.View, region string) candidates {
@@ -37,7 +38,7 @@
 		}
 		switch {
 		case m.RefusesKeys && m.Region == region:
-			c.refusing = append(c.refusing, m.CallerAddress)
+			c.publicOnly = append(c.publicOnly, m.CallerAddress)
 		case m.RefusesKeys:
 		case m.Region == region:
 			c.local = append(c.local, m.CallerAddress)
@@ -49,6 +50,7 @@
 	return c
 }
 
+// preferred returns the most suitable non-empty group of candidates.
 func (c candidates) preferred() []string {
 	switch {
 	case len(c.local) > 0:
@@ -56,5 +58,5 @@
 	case len(c.all) > 0:
 		return c.all
 	}
-	return c.refusing
+	return c.publicOnly
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry answers look-ups of VMs by region, and readiness checks of the platform.
+// Package entry serves look-ups of VMs by region and the platform's readiness checks over HTTP.
 package entry
 
 import (
@@ -20,28 +20,28 @@
 // ServiceName is the name under which the service is registered.
 const ServiceName = "entry"
 
-// Paths and parameters as callers and the platform speak them.
+// Names holds the paths, query parameters and response format that callers and the platform use.
 type Names struct {
 	ReadyPath   string
 	LookupPath  string
 	RegionQuery string
 	ZoneQuery   string
-	Answer      func(addresses []string, maxAge time.Duration) any // body of an answer
+	Answer      func(addresses []string, maxAge time.Duration) any // response body, encoded as JSON
 }
 
-// Deps is what a Service needs.
+// Deps are the dependencies of a Service.
 type Deps struct {
 	Names   Names
 	Ready   net.Listener
-	Lookup  net.Listener // nil: this VM answers no look-ups
+	Lookup  net.Listener // nil: this VM serves no look-ups
 	Members membership.Source
-	Places  map[string]string     // availability zone to region
-	Serving func() (bool, string) // whether this VM can serve callers, and why not
-	MaxAge  time.Duration         // of answers
+	Places  map[string]string     // region by availability zone
+	Serving func() (bool, string) // whether this VM can serve callers; if not, the reason
+	MaxAge  time.Duration         // how long callers may cache a look-up response
 	Logger  *telemetry.Logger
 }
 
-// Service owns the two listeners.
+// Service serves HTTP on the readiness and look-up listeners.
 type Service struct {
 	deps    Deps
 	leaving atomic.Bool
@@ -50,7 +50,7 @@
 
 var _ kernel.Service = (*Service)(nil)
 
-// NewService returns a service.
+// NewService returns a Service. Start begins to serve.
 func NewService(d Deps) *Service { return &Service{deps: d} }
 
 // Provision implements kernel.Service.
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// headerTimeout bounds how long a caller may take for a request's head.
+// headerTimeout limits the time a client may take to send a request's header.
 const headerTimeout = 3 * time.Second
 
 func (s *Service) serve(l net.Listener, path string, h http.HandlerFunc) {
@@ -81,7 +81,7 @@
 	}()
 }
 
-// Leave makes this VM not ready; it goes on answering.
+// Leave makes readiness checks fail. Look-ups are still served.
 func (s *Service) Leave() { s.leaving.Store(true) }
 
 // Drain implements kernel.Service.
@@ -97,21 +97,22 @@
 }
 
 func (s *Service) ready(w http.ResponseWriter, _ *http.Request) {
-	if ok, why := s.fit(); !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if ok, reason := s.isReady(); !ok {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-func (s *Service) fit() (bool, string) {
+// isReady reports whether this VM accepts callers; if not, it also returns the reason.
+func (s *Service) isReady() (bool, string) {
 	if s.leaving.Load() {
 		return false, "this VM is leaving"
 	}
 	return s.deps.Serving()
 }
 
-// lookup names the VMs for a caller's place.
+// lookup responds with the VMs for a caller's region, or for the region of its availability zone.
 func (s *Service) lookup(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	zone, region := q.Get(s.deps.Names.ZoneQuery), q.Get(s.deps.Names.RegionQuery)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -25,7 +25,7 @@
 		member("a2", "a", membership.Alive, 1),
 		member("a3", "a", membership.Suspect, 1),
 		member("a4", "a", membership.Leaving, 1),
-		member("a5", "a", membership.Alive, 0), // has no document yet
+		member("a5", "a", membership.Alive, 0), // no document yet
 		member("b1", "b", membership.Alive, 1),
 		member("c1", "c", membership.Leaving, 1),
 	}
@@ -33,10 +33,10 @@
 		region string
 		want   []string
 	}{
-		"those of the region":              {"a", []string{"a1:80", "a2:80"}},
-		"another region":                   {"b", []string{"b1:80"}},
-		"a region without any that serves": {"c", []string{"a1:80", "a2:80", "b1:80"}},
-		"a region that is not known":       {"nowhere", []string{"a1:80", "a2:80", "b1:80"}},
+		"VMs of the region":         {"a", []string{"a1:80", "a2:80"}},
+		"another region":            {"b", []string{"b1:80"}},
+		"a region without live VMs": {"c", []string{"a1:80", "a2:80", "b1:80"}},
+		"an unknown region":         {"nowhere", []string{"a1:80", "a2:80", "b1:80"}},
 	}
 	for name, tt := range tests {
 		if got := Choose(&membership.View{Members: all}, tt.region); !slices.Equal(got, tt.want) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// VMs that refuse keys are named only where nobody serves them.
+// VMs that refuse keys must be returned only if no live VM serves them.
 func TestChooseAvoidsVMsThatRefuseKeys(t *testing.T) {
 	refusing := func(m membership.Member) membership.Member {
 		m.RefusesKeys = true
@@ -57,9 +57,9 @@
 		members []membership.Member
 		want    []string
 	}{
-		"one of the region": {[]membership.Member{refusing(a1), a2, b1}, []string{"a2:80"}},
-		"the region":        {[]membership.Member{refusing(a1), refusing(a2), b1}, []string{"b1:80"}},
-		"all":               {[]membership.Member{refusing(a1), refusing(a2), refusing(b1)}, []string{"a1:80", "a2:80"}},
+		"one VM refuses":     {[]membership.Member{refusing(a1), a2, b1}, []string{"a2:80"}},
+		"the region refuses": {[]membership.Member{refusing(a1), refusing(a2), b1}, []string{"b1:80"}},
+		"all VMs refuse":     {[]membership.Member{refusing(a1), refusing(a2), refusing(b1)}, []string{"a1:80", "a2:80"}},
 	}
 	for name, tt := range tests {
 		if got := Choose(&membership.View{Members: tt.members}, "a"); !slices.Equal(got, tt.want) {
@@ -68,27 +68,27 @@
 	}
 }
 
-// Answers of large regions name all VMs in turn.
-func TestLargeRegionsUseAllVMs(t *testing.T) {
-	const size, lookUps = 155, 2000
+// In a region with more VMs than fit into a response, all must be returned about equally often.
+func TestChooseCoversAllVMsOfLargeRegions(t *testing.T) {
+	const size, lookups = 155, 2000
 	view := &membership.View{}
 	for i := range size {
 		view.Members = append(view.Members, member(fmt.Sprintf("a%03d", i), "a", membership.Alive, 1))
 	}
-	named := make(map[string]int)
-	for range lookUps {
+	counts := make(map[string]int)
+	for range lookups {
 		answer := Choose(view, "a")
-		if len(answer) != maxNamed {
-			t.Fatalf("%d VMs are named, want %d", len(answer), maxNamed)
+		if len(answer) != maxAddresses {
+			t.Fatalf("got %d addresses, want %d", len(answer), maxAddresses)
 		}
 		for _, address := range answer {
-			named[address]++
+			counts[address]++
 		}
 	}
-	fair := lookUps * maxNamed / size
+	expected := lookups * maxAddresses / size
 	for _, m := range view.Members {
-		if n := named[m.CallerAddress]; n < fair/2 || n > 2*fair {
-			t.Errorf("%s is named %d times, %d are fair", m.Name, n, fair)
+		if n := counts[m.CallerAddress]; n < expected/2 || n > 2*expected {
+			t.Errorf("%s was returned %d times, expected about %d", m.Name, n, expected)
 		}
 	}
 }
@@ -144,11 +144,11 @@
 	t.Cleanup(func() { _ = s.Stop(context.Background()) })
 	readyURL, lookupURL := "http://"+ready.Addr().String()+"/r", "http://"+lookup.Addr().String()+"/l"
 	if status, body := get(t, readyURL); status != http.StatusServiceUnavailable || body != "not yet\n" {
-		t.Errorf("before it serves: %d %q", status, body)
+		t.Errorf("readiness before serving: %d %q", status, body)
 	}
 	serving = true
 	if status, _ := get(t, readyURL); status != http.StatusOK {
-		t.Errorf("while it serves: %d", status)
+		t.Errorf("readiness while serving: %d", status)
 	}
 	status, body := get(t, lookupURL+"?near=a-1")
 	var answer struct {
@@ -160,9 +160,9 @@
 	}
 	s.Leave()
 	if status, _ = get(t, readyURL); status != http.StatusServiceUnavailable {
-		t.Errorf("while it leaves: %d", status)
+		t.Errorf("readiness while leaving: %d", status)
 	}
 	if status, _ = get(t, lookupURL+"?in=a"); status != http.StatusOK {
-		t.Error("a VM that leaves still answers look-ups")
+		t.Error("a leaving VM does not serve look-ups")
 	}
 }
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -10,6 +10,6 @@
 	Number:  telemetry.RangeDiscovery + 301,
 	Level:   logrus.ErrorLevel,
 	Name:    "listener ended",
-	Meaning: "A listener for look-ups or readiness ended though the process goes on.",
-	Action:  "Restart the process; look at its descriptors.",
+	Meaning: "The listener for look-ups or readiness checks failed while the process kept running.",
+	Action:  "Restart the process; check its number of open file descriptors.",
 })
