--- a/internal/ratelimit/allocation_test.go
+++ b/internal/ratelimit/allocation_test.go
@@ -11,23 +11,24 @@
 
 var testTolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-func TestBudgetsStayWithinTheBound(t *testing.T) {
+func TestBudgetStaysWithinTolerance(t *testing.T) {
 	for _, l := range []customer.Limit{{PerSecond: 4, Burst: 4}, {PerSecond: 40, Burst: 40}, {PerSecond: 389}, {PerSecond: 0.1}} {
 		b := testTolerance.Budget(l)
 		most := b.Rate*testTolerance.Window.Seconds() + b.Burst + b.Fill
 		if bound := testTolerance.Bound(l); most > bound {
-			t.Errorf("%+v: %.1f in a window, bound %.1f", l, most, bound)
+			t.Errorf("%+v: budget allows %.1f requests in a window, bound is %.1f", l, most, bound)
 		}
 	}
 }
 
-// holderModel is a VM that loses some answers.
+// holderModel models the share of a VM that does not receive some responses.
 type holderModel struct {
-	held  Share
-	until time.Duration
+	held      Share
+	expiresAt time.Duration
 }
 
-// What VMs hold never exceeds the budget, whichever answers are lost and however demand moves.
+// The sum of the shares that VMs hold must not exceed the budget, even if responses are lost and demand
+// changes.
 func TestSharesNeverExceedTheBudget(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -39,35 +40,36 @@
 			now += time.Duration(random.IntN(300)) * time.Millisecond
 			i := random.IntN(len(vms))
 			vm := &vms[i]
-			if now >= vm.until {
+			if now >= vm.expiresAt {
 				vm.held = Share{}
 			}
-			r := request{vm: fmt.Sprint(i), held: vm.held, demand: 100 * random.Float64()}
+			r := shareRequest{vm: fmt.Sprint(i), held: vm.held, demand: 100 * random.Float64()}
 			granted := a.renew(r, budget, 1, false, now, now+shareTTL)
 			if random.IntN(4) > 0 {
-				vm.held, vm.until = granted, now+shareTTL
+				vm.held, vm.expiresAt = granted, now+shareTTL
 			}
-			checkHeld(t, seed, vms, budget, now)
+			checkHeldShares(t, seed, vms, budget, now)
 		}
 	}
 }
 
-func checkHeld(t *testing.T, seed uint64, vms []holderModel, b Budget, now time.Duration) {
+func checkHeldShares(t *testing.T, seed uint64, vms []holderModel, b Budget, now time.Duration) {
 	t.Helper()
 	var sum Share
 	for _, vm := range vms {
-		if now < vm.until {
+		if now < vm.expiresAt {
 			sum.Rate += vm.held.Rate
 			sum.Burst += vm.held.Burst
 		}
 	}
 	if sum.Rate > b.Rate*1.000001 || float64(sum.Burst) > b.Burst {
-		t.Fatalf("seed %d: %.2f/s and %d tokens are held of %.2f/s and %.1f", seed, sum.Rate, sum.Burst, b.Rate, b.Burst)
+		t.Fatalf("seed %d: VMs hold %.2f/s and %d tokens of a budget of %.2f/s and %.1f", seed, sum.Rate, sum.Burst, b.Rate, b.Burst)
 	}
 }
 
-// A new granter grants nothing that VMs which have not reported may hold.
-func TestNewGranterCountsSharesThatItDoesNotKnow(t *testing.T) {
+// A new granter must not grant what VMs that have not reported yet may hold from an earlier term;
+// otherwise the sum of the shares would exceed the budget.
+func TestNewGranterReservesUnreportedShares(t *testing.T) {
 	limit := customer.Limit{PerSecond: 40, Burst: 40}
 	limitOf := func(string) customer.Limit { return limit }
 	budget := testTolerance.Budget(limit)
@@ -77,51 +79,52 @@
 		r := &report{Incarnation: 1, Number: number, Entries: []reportEntry{{Customer: "x", Demand: 100, Rate: rate, Burst: burst}}}
 		got, ok := g.report(vm, r, limitOf, now)
 		if !ok {
-			t.Fatalf("report %d of %s is not answered", number, vm)
+			t.Fatalf("report %d of %s was rejected", number, vm)
 		}
 		return got.Entries[0]
 	}
 	if got := send("a", 10, 8, 1, time.Second); got.Rate > 10 || got.Burst > 8 {
-		t.Errorf("a grows to %+v while b and c may hold the rest", got)
+		t.Errorf("a got %+v while b and c may hold the rest", got)
 	}
 	if got := send("b", 20, 8, 1, time.Second); got.Rate > 20 || got.Burst > 8 {
-		t.Errorf("b grows to %+v while c may hold the rest", got)
+		t.Errorf("b got %+v while c may hold the rest", got)
 	}
 	if got := send("d", 0, 0, 1, time.Second); got.Rate != 0 || got.Burst != 0 || got.Fill != 0 {
-		t.Errorf("a new holder gets %+v while c may hold the rest", got)
+		t.Errorf("new holder d got %+v while c may hold the rest", got)
 	}
 	if got := send("c", 0, 0, 1, time.Second); got.Rate > budget.Rate-30 {
-		t.Errorf("c gets %+v of what is left", got)
+		t.Errorf("c got %+v, more than the rest of the budget", got)
 	}
 	if _, ok := g.report("a", &report{Incarnation: 1, Number: 1}, limitOf, time.Second); ok {
-		t.Error("a report is answered twice")
+		t.Error("a duplicate report was accepted")
 	}
 }
 
-// Silent holders keep their shares for the time to live only.
-func TestSharesOfSilentHoldersAreGrantedAgain(t *testing.T) {
+// The share of a holder that no longer reports must be available to others after shareTTL.
+func TestExpiredSharesAreGrantedToOthers(t *testing.T) {
 	budget := testTolerance.Budget(customer.Limit{PerSecond: 40, Burst: 40})
 	a := newAllocation(budget, 0)
 	now := time.Second
-	a.renew(request{vm: "a", demand: 100}, budget, 1, false, now, now+shareTTL)
+	a.renew(shareRequest{vm: "a", demand: 100}, budget, 1, false, now, now+shareTTL)
 	now += shareTTL
 	for range 3 {
-		got := a.renew(request{vm: "b", held: a.held("b"), demand: 100}, budget, 1, false, now, now+shareTTL)
+		got := a.renew(shareRequest{vm: "b", held: a.shareOf("b"), demand: 100}, budget, 1, false, now, now+shareTTL)
 		if got.Rate < 0.9*budget.Rate {
-			t.Errorf("b gets %.1f/s of %.1f/s", got.Rate, budget.Rate)
+			t.Errorf("b got %.1f/s of %.1f/s", got.Rate, budget.Rate)
 		}
 	}
 }
 
-func (a *allocation) held(vm string) Share {
-	if k := a.bookings[vm]; k != nil {
-		return k.share
+func (a *allocation) shareOf(vm string) Share {
+	if res := a.reservations[vm]; res != nil {
+		return res.share
 	}
 	return Share{}
 }
 
-// A budget may be filled anew only a window after its last share ended.
-func TestBudgetsInUseLatelyAreNotFilledAnew(t *testing.T) {
+// New buckets may start full only if no share of the budget was in force for a window. Otherwise their
+// tokens would come on top of requests that ran in the same window.
+func TestRecentlyUsedBudgetIsNotRefilled(t *testing.T) {
 	limit := customer.Limit{PerSecond: 40, Burst: 40}
 	limitOf := func(string) customer.Limit { return limit }
 	now := time.Second
@@ -130,26 +133,28 @@
 		r := &report{Incarnation: 1, Number: uint64(now), Entries: []reportEntry{{Customer: "x", Demand: 40, Rate: held.Rate, Burst: held.Burst}}}
 		got, ok := g.report(vm, r, limitOf, now)
 		if !ok {
-			t.Fatalf("the report of %s is not answered", vm)
+			t.Fatalf("the report of %s was rejected", vm)
 		}
 		return got.Entries[0]
 	}
 	first := send("a", Share{}, now)
 	if first.Fill == 0 {
-		t.Error("the first bucket starts empty")
+		t.Error("the first bucket started empty")
 	}
 	now += 2 * time.Second
-	send("a", Share{first.Rate, first.Burst}, now) // then the VM dies
+	send("a", Share{first.Rate, first.Burst}, now) // last report of a
 	ended := now + shareTTL
 	g.sweep(ended)
 	if got := send("b", Share{}, ended+time.Millisecond); got.Fill > int(testTolerance.Budget(limit).Fill) {
-		t.Errorf("a bucket starts with %d tokens right after another's share ended", got.Fill)
+		t.Errorf("a bucket started with %d tokens right after another VM's share expired", got.Fill)
 	}
 }
 
-func TestHoldersAfterAWriteThatMayHaveFailed(t *testing.T) {
+// If it is not known whether a write took effect, only the processes that are listed in both the old
+// and the new object may be relied on.
+func TestHoldersAfterUncertainWrite(t *testing.T) {
 	before, attempted := holderSet{"a": 1, "b": 1, "c": 1}, holderSet{"a": 1, "b": 2, "d": 1}
-	if got := before.common(attempted); len(got) != 1 || got["a"] != 1 {
-		t.Errorf("surely named: %v", got)
+	if got := before.intersection(attempted); len(got) != 1 || got["a"] != 1 {
+		t.Errorf("got %v, want only process 1 of a", got)
 	}
 }
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -10,7 +10,7 @@
 // Share is a part of a customer's budget.
 type Share struct {
 	Rate  float64 // requests/s
-	Burst int     // tokens that may be saved up
+	Burst int     // capacity of the bucket, in tokens
 }
 
 // max returns the larger rate and burst of two shares.
@@ -18,78 +18,79 @@
 	return Share{max(s.Rate, o.Rate), max(s.Burst, o.Burst)}
 }
 
-// empty reports whether nothing can run under the share, as the rest of the budget may be in force
-// elsewhere.
+// empty reports whether no request can run under the share, because the entire budget may be in use at
+// other VMs.
 func (s Share) empty() bool { return s.Rate <= 0 || s.Burst < 1 }
 
-// bucket is a token bucket with a share. It is not safe for concurrent use.
+// bucket is the token bucket of a share. It is not safe for concurrent use.
 type bucket struct {
 	share   Share
 	limiter *rate.Limiter
 }
 
-// newBucket returns a bucket that starts with some tokens.
+// newBucket returns a bucket that starts with fill tokens.
 func newBucket(s Share, fill int, now time.Time) *bucket {
 	b := &bucket{share: s, limiter: rate.NewLimiter(rate.Limit(s.Rate), s.Burst)}
-	b.limiter.AllowN(now, max(s.Burst-fill, 0)) // a new limiter is full
+	b.limiter.AllowN(now, max(s.Burst-fill, 0)) // rate.NewLimiter returns a full bucket
 	return b
 }
 
-// setShare changes the share. Tokens beyond the burst are lost, none are added.
+// setShare changes the share. Tokens beyond the new burst are discarded; none are added.
 func (b *bucket) setShare(s Share, now time.Time) {
 	b.share = s
 	b.limiter.SetLimitAt(now, rate.Limit(s.Rate))
 	b.limiter.SetBurstAt(now, s.Burst)
 }
 
-// maxWait bounds the wait for a token that is reported.
-const maxWait = time.Second
+// maxReportedWait limits the wait that bucket.take returns.
+const maxReportedWait = time.Second
 
-// take takes a token, or returns the time until there is one.
+// take takes a token. If there is none, it returns the time until one is available.
 func (b *bucket) take(now time.Time) (ok bool, wait time.Duration) {
 	if b.limiter.AllowN(now, 1) {
 		return true, 0
 	}
 	if b.share.empty() {
-		return false, maxWait
+		return false, maxReportedWait
 	}
 	missing := 1 - b.limiter.TokensAt(now)
-	return false, min(max(time.Duration(missing/b.share.Rate*float64(time.Second)), time.Millisecond), maxWait)
+	return false, min(max(time.Duration(missing/b.share.Rate*float64(time.Second)), time.Millisecond), maxReportedWait)
 }
 
-// demand estimates the requests/s of a customer: a slow moving average, which follows the fast one at
-// once if chance does not explain their difference.
+// demand estimates a customer's requests/s. The estimate is a slow moving average, which is set to the
+// fast one when the difference between them is too large to be random variation.
 type demand struct {
-	slow, fast float64
-	measured   float64 // seconds that slow is the mean of, slowMemory at most
-	count      int
-	since      time.Duration // start of the present interval, on the boot clock
+	slow, fast    float64
+	averaged      float64 // seconds that slow averages over, at most slowWindow
+	count         int
+	intervalStart time.Duration // on the boot clock
 }
 
 const (
-	fastMemory = 500 * time.Millisecond
-	slowMemory = 5 * time.Second
-	// chanceDeviations is how many standard deviations chance explains.
-	chanceDeviations = 3
+	fastWindow = 500 * time.Millisecond
+	slowWindow = 5 * time.Second
+	// noiseDeviations is the number of standard deviations up to which a difference is considered
+	// random variation.
+	noiseDeviations = 3
 )
 
 // add counts a request.
 func (d *demand) add() { d.count++ }
 
-// update ends an interval and returns the estimate.
+// update ends the current interval and returns the new estimate.
 func (d *demand) update(now time.Duration) float64 {
-	interval := (now - d.since).Seconds()
+	interval := (now - d.intervalStart).Seconds()
 	if interval <= 0 {
 		return d.slow
 	}
 	rate := float64(d.count) / interval
-	d.fast += min(interval/fastMemory.Seconds(), 1) * (rate - d.fast)
-	d.measured = min(d.measured+interval, slowMemory.Seconds())
-	d.slow += min(interval/d.measured, 1) * (rate - d.slow)
-	chance := chanceDeviations * math.Sqrt(max(d.slow, 1)/fastMemory.Seconds())
-	if math.Abs(d.fast-d.slow) > chance {
+	d.fast += min(interval/fastWindow.Seconds(), 1) * (rate - d.fast)
+	d.averaged = min(d.averaged+interval, slowWindow.Seconds())
+	d.slow += min(interval/d.averaged, 1) * (rate - d.slow)
+	noise := noiseDeviations * math.Sqrt(max(d.slow, 1)/fastWindow.Seconds())
+	if math.Abs(d.fast-d.slow) > noise {
 		d.slow = d.fast
 	}
-	d.count, d.since = 0, now
+	d.count, d.intervalStart = 0, now
 	return d.slow
 }
--- a/internal/ratelimit/faults_test.go
+++ b/internal/ratelimit/faults_test.go
@@ -15,82 +15,84 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// splitFleet offers far more than the limit on both sides of a split fleet, and checks the limit.
-func splitFleet(t *testing.T, split func(f *fleet, far []*testVM)) {
+// testPartitionedFleet offers far more requests than the limit on both sides of a partitioned fleet, and
+// checks that the limit holds.
+func testPartitionedFleet(t *testing.T, isolate func(f *fleet, granterSide []*testVM)) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := customer.Limit{PerSecond: 200, Burst: 10}
 		f := newFleet(t, 1, 12, limit)
-		f.settle()
-		f.offer("c0", 600, 5*time.Second, f.any)
+		f.waitForGranter()
+		f.offer("c0", 600, 5*time.Second, f.randomVM)
 		granter := granterOf(f.vms[0].View())
-		var far []*testVM // the granter and half of the others
+		var granterSide []*testVM // the granter and half of the other VMs
 		for i, vm := range f.vms {
 			if vm.name == granter || i%2 == 0 {
-				far = append(far, vm)
+				granterSide = append(granterSide, vm)
 			}
 		}
-		split(f, far)
-		apart := func(a, b *testVM) bool { return slices.Contains(far, a) != slices.Contains(far, b) }
+		isolate(f, granterSide)
+		separated := func(a, b *testVM) bool { return slices.Contains(granterSide, a) != slices.Contains(granterSide, b) }
 		for range 150 {
 			for _, vm := range f.vms {
-				vm.view.Store(f.viewOf(vm, func(other *testVM) bool { return apart(vm, other) }))
+				vm.view.Store(f.viewOf(vm, func(other *testVM) bool { return separated(vm, other) }))
 			}
 			for range 60 {
-				f.request(f.any(), "c0")
+				f.request(f.randomVM(), "c0")
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		f.hub.Heal()
 		time.Sleep(2 * time.Second)
-		if most, bound := f.most("c0"), testTolerance.Bound(limit); float64(most) > bound {
+		if most, bound := f.maxInWindow("c0"), testTolerance.Bound(limit); float64(most) > bound {
 			t.Errorf("%d requests in a window, want at most %.0f", most, bound)
 		}
 	})
 }
 
-func cutApart(f *fleet, far []*testVM) {
+func partition(f *fleet, granterSide []*testVM) {
 	for _, a := range f.vms {
 		for _, b := range f.vms {
-			if slices.Contains(far, a) != slices.Contains(far, b) {
+			if slices.Contains(granterSide, a) != slices.Contains(granterSide, b) {
 				f.hub.SetFault(a.name, b.name, peertest.Fault{Cut: true})
 			}
 		}
 	}
 }
 
-// A granter without the store must stop granting to the VMs that still reach it.
-func TestOnlyOneSideOfASplitFleetGrants(t *testing.T) {
-	splitFleet(t, func(f *fleet, far []*testVM) {
-		cutApart(f, far)
-		for _, vm := range far {
-			vm.refused.Store(true)
+// A granter that can't reach the store must stop granting shares to the VMs that still reach it. It
+// can't renew the lease, so that the other side of the partition elects a granter of its own.
+func TestGranterWithoutStoreStopsGranting(t *testing.T) {
+	testPartitionedFleet(t, func(f *fleet, granterSide []*testVM) {
+		partition(f, granterSide)
+		for _, vm := range granterSide {
+			vm.storeUnavailable.Store(true)
 		}
 	})
 }
 
-// VMs that no granter reaches must stop using their shares.
+// VMs that can't reach a granter must stop using their shares when these expire.
 func TestSharesExpireWithoutAGranter(t *testing.T) {
-	splitFleet(t, func(f *fleet, far []*testVM) {
-		cutApart(f, far)
+	testPartitionedFleet(t, func(f *fleet, granterSide []*testVM) {
+		partition(f, granterSide)
 		for _, vm := range f.vms {
-			vm.refused.Store(!slices.Contains(far, vm))
+			vm.storeUnavailable.Store(!slices.Contains(granterSide, vm))
 		}
 		for _, vm := range f.vms {
-			if !slices.Contains(far, vm) {
+			if !slices.Contains(granterSide, vm) {
 				f.hub.SetFault(vm.name, peertest.Any, peertest.Fault{Cut: true})
 			}
 		}
 	})
 }
 
-// Processes that start again and again must not bring tokens with them.
-func TestRestartsBringNoTokens(t *testing.T) {
+// Processes that restart repeatedly must not add tokens to the budget.
+func TestRestartsAddNoTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := customer.Limit{PerSecond: 20, Burst: 100}
 		f := newFleet(t, 1, 6, limit)
-		f.settle()
+		f.waitForGranter()
 		for range 12 {
-			f.offer("c0", 300, 700*time.Millisecond, f.any)
+			f.offer("c0", 300, 700*time.Millisecond, f.randomVM)
 			for _, vm := range f.vms {
 				if vm.name == granterOf(vm.View()) {
 					continue
@@ -101,24 +103,24 @@
 			f.setViews()
 		}
 		time.Sleep(2 * time.Second)
-		if most, bound := f.most("c0"), testTolerance.Bound(limit); float64(most) > bound {
+		if most, bound := f.maxInWindow("c0"), testTolerance.Bound(limit); float64(most) > bound {
 			t.Errorf("%d requests in a window, want at most %.0f", most, bound)
 		}
 	})
 }
 
-// Limits hold whoever is cut off, restarts, is refused by the store or sees other members, and when
-// writes take effect late.
+// Limits must hold while VMs are cut off, restart, get errors from the store or have wrong member views,
+// and while writes to the store take effect late.
 func TestLimitsHoldUnderFaults(t *testing.T) {
 	const seeds = 12
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { limitsUnderFaults(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runLimitsUnderFaults(t, seed) })
 		})
 	}
 }
 
-func limitsUnderFaults(t *testing.T, seed uint64) {
+func runLimitsUnderFaults(t *testing.T, seed uint64) {
 	limits := []customer.Limit{{PerSecond: 40, Burst: 40}, {PerSecond: 4, Burst: 4}, {PerSecond: 300, Burst: 0}}
 	f := newFleet(t, seed, 9, limits...)
 	var mu sync.Mutex
@@ -137,11 +139,11 @@
 		return platformtest.FaultNone
 	})
 	for range 200 {
-		f.disturb()
+		f.injectFault()
 		for i := range limits {
 			name := fmt.Sprintf("c%d", i)
 			for range int(2*limits[i].PerSecond/10) + 1 {
-				f.request(f.any(), name)
+				f.request(f.randomVM(), name)
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -154,23 +156,23 @@
 	time.Sleep(5 * time.Second)
 	for i, l := range limits {
 		name := fmt.Sprintf("c%d", i)
-		if most, bound := f.most(name), testTolerance.Bound(l); float64(most) > bound {
+		if most, bound := f.maxInWindow(name), testTolerance.Bound(l); float64(most) > bound {
 			t.Errorf("%s: %d requests in a window, want at most %.0f", name, most, bound)
 		}
-		ran, asked := f.served(name)
-		t.Logf("%s: %d of %d ran, at most %d in a window", name, ran, asked, f.most(name))
+		ran, asked := f.results(name)
+		t.Logf("%s: %d of %d requests ran, at most %d in a window", name, ran, asked, f.maxInWindow(name))
 	}
 }
 
-// disturb makes at most one fault, and gives a VM a view that may be wrong.
-func (f *fleet) disturb() {
-	vm := f.any()
+// injectFault injects at most one fault, and gives a VM a member view that may be wrong.
+func (f *fleet) injectFault() {
+	vm := f.randomVM()
 	switch f.random.IntN(24) {
 	case 0:
 		f.kill(vm)
 		f.start(vm)
 	case 1:
-		vm.refused.Store(!vm.refused.Load())
+		vm.storeUnavailable.Store(!vm.storeUnavailable.Load())
 	case 2:
 		f.hub.SetFault(vm.name, peertest.Any, peertest.Fault{Cut: true})
 	case 3:
@@ -184,6 +186,6 @@
 	case 8:
 		f.hub.Resume(vm.name)
 	}
-	wrong := f.random.IntN(4) == 0
-	vm.view.Store(f.viewOf(vm, func(other *testVM) bool { return wrong && other != vm && f.random.IntN(3) == 0 }))
+	wrongView := f.random.IntN(4) == 0
+	vm.view.Store(f.viewOf(vm, func(other *testVM) bool { return wrongView && other != vm && f.random.IntN(3) == 0 }))
 }
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -23,46 +23,46 @@
 
 // testVM is a VM whose process may be restarted.
 type testVM struct {
-	name, region string
-	service      *Service
-	term         uint64
-	view         atomic.Pointer[membership.View]
-	refused      atomic.Bool // by the store
-	dead         bool
-	incarnation  uint64
+	name, region     string
+	service          *Service
+	term             uint64
+	view             atomic.Pointer[membership.View]
+	storeUnavailable atomic.Bool // calls to the store fail
+	dead             bool
+	incarnation      uint64
 }
 
 func (v *testVM) View() *membership.View                         { return v.view.Load() }
 func (v *testVM) Subscribe(func(*membership.View)) (stop func()) { return func() {} }
 
-// vmStore is the store as a VM reaches it.
+// vmStore is a VM's client of the store.
 type vmStore struct {
 	*platformtest.Store
 	vm *testVM
 }
 
 func (s vmStore) Get(ctx context.Context, kind platform.Kind, name string) (platform.Object, error) {
-	if s.vm.refused.Load() {
+	if s.vm.storeUnavailable.Load() {
 		return platform.Object{}, platform.ErrUnavailable
 	}
 	return s.Store.Get(ctx, kind, name)
 }
 
 func (s vmStore) Update(ctx context.Context, kind platform.Kind, name string, value []byte, v platform.Version) (platform.Version, error) {
-	if s.vm.refused.Load() {
+	if s.vm.storeUnavailable.Load() {
 		return 0, platform.ErrUnavailable
 	}
 	return s.Store.Update(ctx, kind, name, value, v)
 }
 
 func (s vmStore) Create(ctx context.Context, kind platform.Kind, name string, value []byte) (platform.Version, error) {
-	if s.vm.refused.Load() {
+	if s.vm.storeUnavailable.Load() {
 		return 0, platform.ErrUnavailable
 	}
 	return s.Store.Create(ctx, kind, name, value)
 }
 
-// fleet is a fleet with limits, and what ran in it.
+// fleet is a group of VMs that enforce limits. It records the requests that ran.
 type fleet struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -71,15 +71,15 @@
 	vms       []*testVM
 	customers atomic.Pointer[customer.Directory]
 
-	mu  sync.Mutex
-	ran map[string][]time.Time
-	ask map[string]int
+	mu    sync.Mutex
+	ran   map[string][]time.Time
+	asked map[string]int
 }
 
 func newFleet(t *testing.T, seed uint64, size int, limits ...customer.Limit) *fleet {
 	f := &fleet{
 		t: t, random: rand.New(rand.NewPCG(seed, 3)), hub: peertest.NewHub(seed), store: platformtest.NewStore(),
-		ran: make(map[string][]time.Time), ask: make(map[string]int),
+		ran: make(map[string][]time.Time), asked: make(map[string]int),
 	}
 	f.setLimits(limits...)
 	for i := range size {
@@ -138,7 +138,7 @@
 	f.mu.Unlock()
 }
 
-// viewOf returns what a VM sees of the members: those in suspect are not alive.
+// viewOf returns a VM's member view, in which dead VMs and those for which suspect is true are not alive.
 func (f *fleet) viewOf(vm *testVM, suspect func(other *testVM) bool) *membership.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,27 +153,29 @@
 	return v
 }
 
+// setViews gives all VMs a correct member view.
 func (f *fleet) setViews() {
 	for _, vm := range f.vms {
 		vm.view.Store(f.viewOf(vm, func(*testVM) bool { return false }))
 	}
 }
 
-// request runs a request of a customer at a VM, if the limit allows it.
+// request sends a customer's request to a VM and records whether the limit allowed it.
 func (f *fleet) request(vm *testVM, name string) {
 	service := vm.service
 	go func() {
 		refusal := service.Take(context.Background(), f.customers.Load().ByName(name))
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.ask[name]++
+		f.asked[name]++
 		if refusal == nil {
 			f.ran[name] = append(f.ran[name], time.Now())
 		}
 	}()
 }
 
-// offer sends requests for some time; pick chooses the VM of each. Views follow every 200 ms.
+// offer sends requests at the given mean rate for some time. pick chooses the VM of each request. Member
+// views are updated every 200 ms.
 func (f *fleet) offer(name string, perSecond float64, length time.Duration, pick func() *testVM) {
 	end := time.Now().Add(length)
 	next := time.Now().Add(200 * time.Millisecond)
@@ -187,39 +189,40 @@
 	}
 }
 
-func (f *fleet) any() *testVM { return f.vms[f.random.IntN(len(f.vms))] }
+func (f *fleet) randomVM() *testVM { return f.vms[f.random.IntN(len(f.vms))] }
 
-// most returns the most requests of a customer in any window.
-func (f *fleet) most(name string) int {
+// maxInWindow returns the maximum number of a customer's requests that ran in any window.
+func (f *fleet) maxInWindow(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ran := f.ran[name]
 	slices.SortFunc(ran, time.Time.Compare)
-	most, from := 0, 0
+	highest, from := 0, 0
 	for to := range ran {
 		for ran[to].Sub(ran[from]) > testTolerance.Window {
 			from++
 		}
-		most = max(most, to-from+1)
+		highest = max(highest, to-from+1)
 	}
-	return most
+	return highest
 }
 
-func (f *fleet) served(name string) (ran, asked int) {
+// results returns the numbers of a customer's requests that ran and that were sent.
+func (f *fleet) results(name string) (ran, asked int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.ran[name]), f.ask[name]
+	return len(f.ran[name]), f.asked[name]
 }
 
-func (f *fleet) reset() {
+func (f *fleet) resetResults() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	clear(f.ran)
-	clear(f.ask)
+	clear(f.asked)
 }
 
-// settle waits until a granter is known everywhere.
-func (f *fleet) settle() {
+// waitForGranter waits until all VMs know a granter.
+func (f *fleet) waitForGranter() {
 	for range 15 {
 		time.Sleep(200 * time.Millisecond)
 		f.setViews()
--- a/internal/ratelimit/holder.go
+++ b/internal/ratelimit/holder.go
@@ -6,159 +6,161 @@
 )
 
 const (
-	// keepFor is how long a holder renews the share of a customer without requests.
-	keepFor = 10 * time.Second
-	// maxSpread bounds how far the return of refused requests is spread.
-	maxSpread = 100 * time.Millisecond
-	// maxHeld bounds the customers of a holder.
-	maxHeld = 20_000
+	// idleTimeout is how long a holder keeps renewing the share of a customer without requests.
+	idleTimeout = 10 * time.Second
+	// maxRetryJitter limits the random delay by which the retries of refused requests are spread.
+	maxRetryJitter = 100 * time.Millisecond
+	// maxHeldCustomers limits the number of customers that a holder keeps track of.
+	maxHeldCustomers = 20_000
 )
 
-// heldShare is a customer's bucket at this VM.
+// heldShare is the state of a customer at this VM: its bucket, if there is a share, and its demand.
 type heldShare struct {
-	bucket *bucket
-	until  time.Duration // validity of the share, on the boot clock
-	demand demand
-	usedAt time.Duration // last request
-	// waiting are the requests that wait for a token.
+	bucket     *bucket
+	expiresAt  time.Duration // end of the share's validity, on the boot clock
+	demand     demand
+	lastUsedAt time.Duration // time of the last request
+	// waiting is the number of requests that wait for a token.
 	waiting int
-	// promised is the latest time at which a refused request was told to come back.
-	promised time.Duration
+	// lastRetryAt is the retry time given to the most recently refused request.
+	lastRetryAt time.Duration
 }
 
-// holder keeps this VM's buckets. It does no I/O and is not safe for concurrent use.
+// holder keeps this VM's shares. It does no I/O and is not safe for concurrent use.
 type holder struct {
 	incarnation uint64
-	number      uint64 // of the last report
-	held        map[string]*heldShare
+	lastReport  uint64 // number of the last report
+	shares      map[string]*heldShare
 }
 
 func newHolder(incarnation uint64) *holder {
-	return &holder{incarnation: incarnation, held: make(map[string]*heldShare)}
+	return &holder{incarnation: incarnation, shares: make(map[string]*heldShare)}
 }
 
-// wallOf converts boot time for the buckets.
-func wallOf(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) }
+// wallTime converts boot time to the time.Time that rate.Limiter needs.
+func wallTime(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) }
 
-// count counts a request of a customer for the demand that is reported.
-func (h *holder) count(name string, now time.Duration) {
-	k := h.held[name]
-	if k == nil {
-		if len(h.held) >= maxHeld {
+// recordRequest counts a request of a customer toward the demand that is reported.
+func (h *holder) recordRequest(name string, now time.Duration) {
+	hs := h.shares[name]
+	if hs == nil {
+		if len(h.shares) >= maxHeldCustomers {
 			return
 		}
-		k = &heldShare{demand: demand{since: now}}
-		h.held[name] = k
+		hs = &heldShare{demand: demand{intervalStart: now}}
+		h.shares[name] = hs
 	}
-	k.demand.add()
-	k.usedAt = now
+	hs.demand.add()
+	hs.lastUsedAt = now
 }
 
-// expect makes the next report ask for a share of a customer before its first request.
-func (h *holder) expect(name string, now time.Duration) {
-	if h.held[name] == nil && len(h.held) < maxHeld {
-		h.held[name] = &heldShare{demand: demand{since: now}, usedAt: now}
+// requestShare makes the next report ask for a customer's share before its first request arrives.
+func (h *holder) requestShare(name string, now time.Duration) {
+	if h.shares[name] == nil && len(h.shares) < maxHeldCustomers {
+		h.shares[name] = &heldShare{demand: demand{intervalStart: now}, lastUsedAt: now}
 	}
 }
 
-// take takes a token of a customer.
-func (h *holder) take(name string, now time.Duration) (verdict, time.Duration) {
-	k := h.held[name]
-	if k == nil || k.bucket == nil || now >= k.until || k.bucket.share.empty() {
-		return verdictUnknown, 0
+// take takes a token from a customer's bucket. If there is none, it returns resultOverLimit and the time
+// until one is available. Without a valid share it returns resultUnknown.
+func (h *holder) take(name string, now time.Duration) (takeResult, time.Duration) {
+	hs := h.shares[name]
+	if hs == nil || hs.bucket == nil || now >= hs.expiresAt || hs.bucket.share.empty() {
+		return resultUnknown, 0
 	}
-	if ok, wait := k.bucket.take(wallOf(now)); !ok {
-		return verdictOver, wait
+	if ok, wait := hs.bucket.take(wallTime(now)); !ok {
+		return resultOverLimit, wait
 	}
-	return verdictTaken, 0
+	return resultTaken, 0
 }
 
-// enqueue reports whether a request may wait for a token that is expected after a time.
+// enqueue reports whether a request may wait for a token that is expected after the given wait, and
+// counts it as waiting if so. Each successful call must be followed by dequeue.
 func (h *holder) enqueue(name string, wait time.Duration) bool {
-	k := h.held[name]
-	if k == nil || k.bucket == nil || wait > tokenWait {
+	hs := h.shares[name]
+	if hs == nil || hs.bucket == nil || wait > maxTokenWait {
 		return false
 	}
-	if k.waiting >= max(int(k.bucket.share.Rate*tokenWait.Seconds()), 1) {
+	if hs.waiting >= max(int(hs.bucket.share.Rate*maxTokenWait.Seconds()), 1) {
 		return false
 	}
-	k.waiting++
+	hs.waiting++
 	return true
 }
 
-// dequeue ends the wait of a request.
+// dequeue ends the wait of a request that enqueue accepted.
 func (h *holder) dequeue(name string) {
-	if k := h.held[name]; k != nil {
-		k.waiting = max(k.waiting-1, 0)
+	if hs := h.shares[name]; hs != nil {
+		hs.waiting = max(hs.waiting-1, 0)
 	}
 }
 
-// refuse returns when a refused request should come back: when there is a token for it, as far as
-// those refused before leave some, but soon enough to be of use.
-func (h *holder) refuse(name string, wait, now time.Duration) time.Duration {
-	k := h.held[name]
-	if k == nil || k.bucket == nil {
+// retryAfter returns the time after which a refused request should be retried. Retries are spaced by
+// the share's rate, so that there is a token for each, but start at most maxRetryJitter after wait.
+func (h *holder) retryAfter(name string, wait, now time.Duration) time.Duration {
+	hs := h.shares[name]
+	if hs == nil || hs.bucket == nil {
 		return wait
 	}
 	next := now + wait
-	if rate := k.bucket.share.Rate; rate > 0 {
-		next = max(next, k.promised+time.Duration(float64(time.Second)/rate))
+	if rate := hs.bucket.share.Rate; rate > 0 {
+		next = max(next, hs.lastRetryAt+time.Duration(float64(time.Second)/rate))
 	}
-	if next > now+wait+maxSpread { // more come back than there are tokens
-		next = now + wait + time.Duration(rand.Float64()*float64(maxSpread))
+	if next > now+wait+maxRetryJitter { // there are more retries than tokens
+		next = now + wait + time.Duration(rand.Float64()*float64(maxRetryJitter))
 	}
-	k.promised = next
+	hs.lastRetryAt = next
 	return next - now
 }
 
-// report returns the next report. It drops customers without requests.
+// report returns the next report. It removes customers without requests once their shares have expired.
 func (h *holder) report(now time.Duration) *report {
-	h.number++
-	r := &report{Incarnation: h.incarnation, Number: h.number}
-	for name, k := range h.held {
-		valid := k.bucket != nil && now < k.until
-		if !valid && now-k.usedAt > keepFor {
-			delete(h.held, name)
+	h.lastReport++
+	r := &report{Incarnation: h.incarnation, Number: h.lastReport}
+	for name, hs := range h.shares {
+		valid := hs.bucket != nil && now < hs.expiresAt
+		if !valid && now-hs.lastUsedAt > idleTimeout {
+			delete(h.shares, name)
 			continue
 		}
-		if now-k.usedAt > keepFor {
-			continue // its share runs out
+		if now-hs.lastUsedAt > idleTimeout {
+			continue // let the share expire
 		}
-		e := reportEntry{Customer: name, Demand: k.demand.update(now)}
+		e := reportEntry{Customer: name, Demand: hs.demand.update(now)}
 		if valid {
-			e.Rate, e.Burst = k.bucket.share.Rate, k.bucket.share.Burst
+			e.Rate, e.Burst = hs.bucket.share.Rate, hs.bucket.share.Burst
 		} else {
-			k.bucket = nil // what it holds must not come back to life
+			hs.bucket = nil // the tokens of an expired share must not become usable again
 		}
 		r.Entries = append(r.Entries, e)
 	}
 	return r
 }
 
-// shrunk is the part of its share to which a holder's must shrink for the granter to be told at once
-// that others may have the rest.
-const shrunk = 0.8
+// shrinkThreshold is the fraction of its former rate below which a holder's new share is reported to
+// the granter immediately, so that the granter can give the rest to others.
+const shrinkThreshold = 0.8
 
-// apply puts the answer to a report that was sent at some time in force. It reports whether the next
-// report is due at once.
-func (h *holder) apply(g *grants, sent, now time.Duration) (due bool) {
-	for i := range g.Entries {
-		e := &g.Entries[i]
-		k := h.held[e.Customer]
-		if k == nil {
+// apply puts the shares in force that were granted in response to a report sent at the given time. It
+// reports whether the next report should be sent immediately.
+func (h *holder) apply(resp *reportResponse, sent, now time.Duration) (due bool) {
+	for i := range resp.Entries {
+		e := &resp.Entries[i]
+		hs := h.shares[e.Customer]
+		if hs == nil {
 			continue
 		}
 		share := Share{e.Rate, e.Burst}
 		switch {
-		case k.bucket == nil:
-			k.bucket = newBucket(share, e.Fill, wallOf(now))
-		case now >= k.until: // its tokens have expired with the share
-			k.bucket = newBucket(share, 0, wallOf(now))
+		case hs.bucket == nil:
+			hs.bucket = newBucket(share, e.Fill, wallTime(now))
+		case now >= hs.expiresAt: // the tokens expired with the share
+			hs.bucket = newBucket(share, 0, wallTime(now))
 		default:
-			due = due || share.Rate < shrunk*k.bucket.share.Rate
-			k.bucket.setShare(share, wallOf(now))
+			due = due || share.Rate < shrinkThreshold*hs.bucket.share.Rate
+			hs.bucket.setShare(share, wallTime(now))
 		}
-		k.until = sent + shareTTL
+		hs.expiresAt = sent + shareTTL
 	}
 	return due
 }
--- a/internal/ratelimit/holders.go
+++ b/internal/ratelimit/holders.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// minHolderBurst is the least burst of a holder for which there are more of them.
+	// minHolderBurst is the minimum burst per holder. A region has several holders of a budget only
+	// if each of them gets at least this burst.
 	minHolderBurst = 12
 )
 
-// holderCache are the holders of customers under one view of the members.
+// holderCache caches the holders of customers for one view of the members.
 type holderCache struct {
 	view      *membership.View
-	region    []membership.Member // VMs that may hold shares
+	region    []membership.Member // VMs of this region that may hold shares
 	customers map[string]holderList
 }
 
-// holderList are the holders of a customer under a limit.
+// holderList are the holders of a customer for a given limit.
 type holderList struct {
 	limit customer.Limit
 	vms   []string
 }
 
-// holdersOf returns the VMs of this region that hold shares of a customer's limit.
+// holdersOf returns the VMs of this region that hold shares of a customer's budget.
 func (s *Service) holdersOf(c *customer.Customer) []string {
 	view := s.deps.Members.View()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.holders.view != view {
-		s.holders = holderCache{view: view, region: aliveIn(view, s.deps.Region), customers: make(map[string]holderList)}
+		s.holders = holderCache{view: view, region: eligibleMembers(view, s.deps.Region), customers: make(map[string]holderList)}
 	}
 	if l, ok := s.holders.customers[c.Name]; ok && l.limit == c.Limit {
 		return l.vms
@@ -41,8 +42,8 @@
 	return vms
 }
 
-// aliveIn returns the VMs of a region that serve requests with keys; "" means all regions.
-func aliveIn(v *membership.View, region string) []membership.Member {
+// eligibleMembers returns the live VMs of a region that serve requests with keys; "" means all regions.
+func eligibleMembers(v *membership.View, region string) []membership.Member {
 	var members []membership.Member
 	for _, m := range v.Members {
 		if (region == "" || m.Region == region) && m.State == membership.Alive && !m.RefusesKeys {
@@ -52,8 +53,8 @@
 	return members
 }
 
-// rankByCores returns the first VMs for a key. A VM with more processor time ranks first more often,
-// as others wait for it.
+// rankByCores returns the n highest-ranked VMs for a key, by rendezvous hashing weighted by CPU cores.
+// VMs with more cores rank first more often, because other VMs wait for the chosen ones.
 func rankByCores(key string, members []membership.Member, n int) []string {
 	name := func(m membership.Member) string { return m.Name }
 	cores := func(m membership.Member) float64 {
@@ -69,8 +70,8 @@
 	return names
 }
 
-// holderCount returns the holders per region: as many as have minHolderBurst each. Small limits have
-// one, which the region's other VMs ask for each request.
+// holderCount returns the number of holders per region: as many as get a burst of minHolderBurst each,
+// but at least one. A small limit has one holder, which the region's other VMs ask for each request.
 func holderCount(b Budget, regions int) int {
 	return max(int(b.Burst)/(minHolderBurst*max(regions, 1)), 1)
 }
--- a/internal/ratelimit/holderset.go
+++ b/internal/ratelimit/holderset.go
@@ -13,17 +13,18 @@
 	"masticturn/internal/membership"
 )
 
-// holderSet names VMs that may hold shares, each with the ID of its process.
+// holderSet is a set of VMs that may hold shares, each with the ID of its process.
 type holderSet map[string]uint16
 
-// processID is a short ID of a process. Two processes of a VM may share it, which only delays what
-// depends on their difference.
+// processID returns a short ID of a process. Two processes of a VM may have the same ID; this only
+// delays the detection that the earlier one has ended.
 func processID(process uint64) uint16 { return uint16(process ^ process>>16 ^ process>>32) }
 
-// keep adds VMs. Of a VM with two processes the earlier one is kept, as its shares may be in force.
-func (s holderSet) keep(others holderSet) { maps.Copy(s, others) }
+// merge adds the VMs of another set. If a VM has a different process in the other set, that process
+// replaces the present one: others holds the earlier process, whose shares may still be in force.
+func (s holderSet) merge(others holderSet) { maps.Copy(s, others) }
 
-// without returns the set without some VMs.
+// without returns a copy of the set without the given VMs.
 func (s holderSet) without(vms []string) holderSet {
 	rest := maps.Clone(s)
 	for _, vm := range vms {
@@ -32,8 +33,8 @@
 	return rest
 }
 
-// common returns the processes that are in both sets.
-func (s holderSet) common(others holderSet) holderSet {
+// intersection returns the VMs that have the same process in both sets.
+func (s holderSet) intersection(others holderSet) holderSet {
 	both := make(holderSet)
 	for vm, process := range s {
 		if other, ok := others[vm]; ok && other == process {
@@ -43,8 +44,9 @@
 	return both
 }
 
-// ended returns the VMs whose process has ended, as another one runs.
-func (s holderSet) ended(v *membership.View) []string {
+// withEndedProcess returns the VMs whose process in the set has ended, as shown by a different process
+// in the member view.
+func (s holderSet) withEndedProcess(v *membership.View) []string {
 	var names []string
 	for i := range v.Members {
 		m := &v.Members[i]
@@ -56,27 +58,28 @@
 }
 
 const (
-	// maxHoldersBytes bounds an unpacked set.
+	// maxHoldersBytes limits the size of an unpacked set.
 	maxHoldersBytes = 1 << 20
-	// processSeparator stands between name and process ID, which has the base processBase.
+	// processSeparator separates the VM name from the process ID, which is written in base
+	// processBase.
 	processSeparator = "@"
 	processBase      = 36
 )
 
-// packHolders compresses a set for the store; names are alike.
+// packHolders encodes a set for the store. It is compressed because VM names are similar.
 func packHolders(s holderSet) string {
 	var lines []string
 	for _, name := range slices.Sorted(maps.Keys(s)) {
 		lines = append(lines, name+processSeparator+strconv.FormatUint(uint64(s[name]), processBase))
 	}
 	var out bytes.Buffer
-	w, _ := flate.NewWriter(&out, flate.BestSpeed) // fails for unknown levels only
+	w, _ := flate.NewWriter(&out, flate.BestSpeed) // fails only for invalid levels
 	_, _ = io.WriteString(w, strings.Join(lines, "\n"))
-	_ = w.Close() // a buffer takes everything
+	_ = w.Close() // writes to a bytes.Buffer don't fail
 	return base64.StdEncoding.EncodeToString(out.Bytes())
 }
 
-// unpackHolders is the inverse of packHolders; what is not understood is left out.
+// unpackHolders is the inverse of packHolders. Entries that can't be decoded are omitted.
 func unpackHolders(packed string) holderSet {
 	raw, err := base64.StdEncoding.DecodeString(packed)
 	if err != nil {
--- a/internal/ratelimit/lease.go
+++ b/internal/ratelimit/lease.go
@@ -7,135 +7,138 @@
 )
 
 const (
-	// leaseTTL is how long the granter may grant after a renewal was sent.
+	// leaseTTL is how long the granter may grant shares after it sent a renewal.
 	leaseTTL = 2400 * time.Millisecond
 	// renewInterval is the interval of renewals.
 	renewInterval = 800 * time.Millisecond
-	// leaseMargin covers the drift between the clocks of two VMs.
+	// leaseMargin allows for clock drift between two VMs.
 	leaseMargin = 100 * time.Millisecond
-	// rankDelay is how much longer than the VM ranked before it a candidate waits.
+	// rankDelay is how much longer a candidate waits than the one ranked before it.
 	rankDelay = time.Second
-	// watchInterval is the interval at which a candidate reads another VM's lease.
+	// watchInterval is the interval at which a candidate reads a lease that another VM owns.
 	watchInterval = 500 * time.Millisecond
-	// retryInterval is the least time between calls to the store after one failed.
+	// retryInterval is the minimum time between a failed call to the store and the next call.
 	retryInterval = 300 * time.Millisecond
 )
 
-// claim is the content of the lease's object.
-type claim struct {
-	Granter     string `json:"granter"` // VM; empty: released
+// leaseRecord is the content of the lease's object in the store.
+type leaseRecord struct {
+	Granter     string `json:"granter"` // name of the VM; empty: released
 	Incarnation uint64 `json:"incarnation"`
-	Holders     string `json:"holders"` // VMs that may hold shares, packed
+	Holders     string `json:"holders"` // VMs that may hold shares, encoded by packHolders
 }
 
-// action is what the lease's owner or a candidate does next.
+// action is the next step of the lease's owner or of a candidate.
 type action uint8
 
 const (
 	actWait    action = iota
 	actRead           // read the object
-	actClaim          // take the lease over, or renew it
-	actRelease        // give the lease back
+	actAcquire        // acquire or renew the lease
+	actRelease        // release the lease
 )
 
-// lease is the state of the lease at one VM: the granter's, or a candidate's. A lease is taken over
-// only after its object has not changed for leaseTTL, counted from the end of a read; so the owner's
-// last renewal was sent earlier. It does no I/O and is not safe for concurrent use.
+// lease is the state of the lease at one VM, which is the granter or a candidate. A candidate takes
+// over another VM's lease only after its object has not changed for leaseTTL since a read ended, which
+// ensures that the owner sent its last renewal before that period. lease does no I/O and is not safe
+// for concurrent use.
 type lease struct {
 	self string
 
-	version platform.Version // of the object; 0: it does not exist, or is not known
-	read    bool             // version is known
-	owner   string           // by the object
-	process uint64           // incarnation of the owner, by the object
-	holders holderSet        // by the object
-	seen    time.Duration    // when the version was first read here
-
-	term    uint64        // of this VM's lease; 0: none
-	renewed time.Duration // when the last successful renewal was sent
-	early   bool          // a renewal is due before its time
-	sentAt  time.Duration // when the last call was sent
-	failed  bool          // the last call failed
-	calm    time.Duration // since when there is no granter
+	version       platform.Version // of the object; 0: the object does not exist, or its version is not known
+	versionKnown  bool             // whether version is known
+	owner         string           // as listed in the object
+	ownerProcess  uint64           // incarnation of the owner, as listed in the object
+	holders       holderSet        // as listed in the object
+	versionReadAt time.Duration    // when the version was first read here
+
+	term           uint64        // of this VM's lease; 0: none
+	renewedAt      time.Duration // when the last successful renewal was sent
+	renewEarly     bool          // renew without waiting for renewInterval
+	lastCallAt     time.Duration // when the last call to the store was sent
+	lastCallFailed bool          // the last call to the store failed
+	vacantSince    time.Duration // since when no granter is known; 0: not set
 }
 
-// valid reports whether this VM may grant.
-func (l *lease) valid(now time.Duration) bool { return l.term != 0 && now < l.renewed+leaseTTL }
+// valid reports whether this VM may grant shares.
+func (l *lease) valid(now time.Duration) bool { return l.term != 0 && now < l.renewedAt+leaseTTL }
 
-// observed handles an object that was read; found is false if it does not exist.
-func (l *lease) observed(version platform.Version, c claim, holders holderSet, found bool, now time.Duration) {
+// handleRead handles a successful read of the object; found is false if the object does not exist.
+func (l *lease) handleRead(version platform.Version, rec leaseRecord, holders holderSet, found bool, now time.Duration) {
 	if !found {
-		version, c, holders = 0, claim{}, nil
+		version, rec, holders = 0, leaseRecord{}, nil
 	}
-	if !l.read || version != l.version {
-		l.seen = now
+	if !l.versionKnown || version != l.version {
+		l.versionReadAt = now
 	}
-	l.read, l.failed = true, false
-	l.version, l.owner, l.process, l.holders = version, c.Granter, c.Incarnation, holders
+	l.versionKnown, l.lastCallFailed = true, false
+	l.version, l.owner, l.ownerProcess, l.holders = version, rec.Granter, rec.Incarnation, holders
 }
 
-// claimed handles a successful write that was sent at a time.
-func (l *lease) claimed(version platform.Version, holders holderSet, sent time.Duration) {
+// handleWritten handles a successful write, which was sent at the given time.
+func (l *lease) handleWritten(version platform.Version, holders holderSet, sent time.Duration) {
 	if l.term == 0 {
 		l.term = uint64(version)
 	}
 	l.version, l.owner, l.holders = version, l.self, holders
-	l.renewed, l.early, l.failed = sent, false, false
+	l.renewedAt, l.renewEarly, l.lastCallFailed = sent, false, false
 }
 
-// lost handles a write whose condition failed, or whose outcome is unknown.
-func (l *lease) lost() { l.read, l.failed = false, true }
+// handleCallFailed handles a failed read, or a write that was rejected or whose outcome is unknown.
+func (l *lease) handleCallFailed() { l.versionKnown, l.lastCallFailed = false, true }
 
-// resign ends the lease of this VM.
+// resign ends this VM's term.
 func (l *lease) resign() { l.term = 0 }
 
-// next returns the next action. Rank is this VM's among the candidates, granted whether another
-// granter is known to be alive. Process returns the first incarnation of a VM's present process; 0:
-// unknown.
-func (l *lease) next(rank int, granted bool, process func(vm string) uint64, now time.Duration) action {
-	if l.failed && now < l.sentAt+retryInterval {
+// next returns the next action. rank is this VM's rank among the candidates; granterAlive means that
+// another VM is known to be alive as granter. process returns the first incarnation of a VM's present
+// process, or 0 if it is not known.
+func (l *lease) next(rank int, granterAlive bool, process func(vm string) uint64, now time.Duration) action {
+	if l.lastCallFailed && now < l.lastCallAt+retryInterval {
 		return actWait
 	}
 	if l.term != 0 {
-		return l.nextOfOwner(now)
+		return l.nextAsOwner(now)
 	}
-	if granted {
-		l.calm, l.read = 0, false
+	if granterAlive {
+		l.vacantSince, l.versionKnown = 0, false
 		return actWait
 	}
-	if l.calm == 0 {
-		l.calm = now
+	if l.vacantSince == 0 {
+		l.vacantSince = now
 	}
-	if now < l.calm+time.Duration(rank)*rankDelay {
+	if now < l.vacantSince+time.Duration(rank)*rankDelay {
 		return actWait
 	}
-	if l.read && (l.free(now) || process(l.owner) > l.process) {
-		return actClaim
+	if l.versionKnown && (l.canTakeOver(now) || process(l.owner) > l.ownerProcess) {
+		return actAcquire
 	}
-	if !l.read || now >= l.sentAt+watchInterval {
+	if !l.versionKnown || now >= l.lastCallAt+watchInterval {
 		return actRead
 	}
 	return actWait
 }
 
-// nextOfOwner renews the lease. After a failed renewal the object is read, as it may have taken effect.
-func (l *lease) nextOfOwner(now time.Duration) action {
+// nextAsOwner returns the owner's next action, which renews the lease in time. After a failed renewal
+// the object is read first, because the renewal may have taken effect.
+func (l *lease) nextAsOwner(now time.Duration) action {
 	switch {
 	case !l.valid(now):
-		l.resign() // callers must not wait for a VM that can't grant
+		l.resign() // requests must not wait for a VM that can't grant shares
 		return actWait
-	case !l.read:
+	case !l.versionKnown:
 		return actRead
 	case l.owner != l.self:
-		l.resign() // another VM has it
+		l.resign() // another VM owns the lease
 		return actWait
-	case l.early || now >= l.renewed+renewInterval:
-		return actClaim
+	case l.renewEarly || now >= l.renewedAt+renewInterval:
+		return actAcquire
 	}
 	return actWait
 }
 
-// free reports whether the lease may be taken over. An earlier process of this VM has ended.
-func (l *lease) free(now time.Duration) bool {
-	return l.version == 0 || l.owner == "" || l.owner == l.self || now >= l.seen+leaseTTL+leaseMargin
+// canTakeOver reports whether this VM may take over the lease. A lease in this VM's own name may be
+// taken over at any time, as the earlier process that acquired it has ended.
+func (l *lease) canTakeOver(now time.Duration) bool {
+	return l.version == 0 || l.owner == "" || l.owner == l.self || now >= l.versionReadAt+leaseTTL+leaseMargin
 }
--- a/internal/ratelimit/lease_test.go
+++ b/internal/ratelimit/lease_test.go
@@ -12,27 +12,27 @@
 
 func TestLeaseActions(t *testing.T) {
 	const at = 10 * time.Second
-	other := claim{Granter: "b"}
+	other := leaseRecord{Granter: "b"}
 	tests := map[string]struct {
 		lease   lease
 		rank    int
 		granted bool
 		want    action
 	}{
-		"another granter is alive":           {lease{self: "a"}, 0, true, actWait},
-		"no granter":                         {lease{self: "a"}, 0, false, actRead},
-		"a lower rank waits":                 {lease{self: "a", calm: at}, 1, false, actWait},
-		"and acts later":                     {lease{self: "a", calm: at - rankDelay}, 1, false, actRead},
-		"no object":                          {lease{self: "a", read: true, seen: at}, 0, false, actClaim},
-		"released":                           {lease{self: "a", read: true, version: 3, seen: at}, 0, false, actClaim},
-		"an earlier process of this VM":      {lease{self: "a", read: true, version: 3, owner: "a", seen: at}, 0, false, actClaim},
-		"another's, whose process has ended": {lease{self: "a", read: true, version: 3, owner: "restarted", process: 5, seen: at, sentAt: at}, 0, false, actClaim},
-		"another's, seen now":                {lease{self: "a", read: true, version: 3, owner: "b", process: 5, seen: at, sentAt: at}, 0, false, actWait},
-		"another's, unchanged for its time":  {lease{self: "a", read: true, version: 3, owner: "b", seen: at - leaseTTL - leaseMargin}, 0, false, actClaim},
-		"the owner's, fresh":                 {lease{self: "a", read: true, version: 3, owner: "a", term: 3, renewed: at}, 0, false, actWait},
-		"the owner's, due":                   {lease{self: "a", read: true, version: 3, owner: "a", term: 3, renewed: at - renewInterval}, 0, false, actClaim},
-		"the owner's, after a failed call":   {lease{self: "a", failed: true, sentAt: at, term: 3, renewed: at - renewInterval}, 0, false, actWait},
-		"the owner's, to be read":            {lease{self: "a", term: 3, renewed: at - renewInterval}, 0, false, actRead},
+		"another granter is alive":               {lease{self: "a"}, 0, true, actWait},
+		"no granter":                             {lease{self: "a"}, 0, false, actRead},
+		"lower rank, before its delay":           {lease{self: "a", vacantSince: at}, 1, false, actWait},
+		"lower rank, after its delay":            {lease{self: "a", vacantSince: at - rankDelay}, 1, false, actRead},
+		"no object":                              {lease{self: "a", versionKnown: true, versionReadAt: at}, 0, false, actAcquire},
+		"released":                               {lease{self: "a", versionKnown: true, version: 3, versionReadAt: at}, 0, false, actAcquire},
+		"owned by an earlier process of this VM": {lease{self: "a", versionKnown: true, version: 3, owner: "a", versionReadAt: at}, 0, false, actAcquire},
+		"owned by another VM, process ended":     {lease{self: "a", versionKnown: true, version: 3, owner: "restarted", ownerProcess: 5, versionReadAt: at, lastCallAt: at}, 0, false, actAcquire},
+		"owned by another VM, just read":         {lease{self: "a", versionKnown: true, version: 3, owner: "b", ownerProcess: 5, versionReadAt: at, lastCallAt: at}, 0, false, actWait},
+		"owned by another VM, expired":           {lease{self: "a", versionKnown: true, version: 3, owner: "b", versionReadAt: at - leaseTTL - leaseMargin}, 0, false, actAcquire},
+		"owner, just renewed":                    {lease{self: "a", versionKnown: true, version: 3, owner: "a", term: 3, renewedAt: at}, 0, false, actWait},
+		"owner, renewal due":                     {lease{self: "a", versionKnown: true, version: 3, owner: "a", term: 3, renewedAt: at - renewInterval}, 0, false, actAcquire},
+		"owner, after a failed call":             {lease{self: "a", lastCallFailed: true, lastCallAt: at, term: 3, renewedAt: at - renewInterval}, 0, false, actWait},
+		"owner, version not known":               {lease{self: "a", term: 3, renewedAt: at - renewInterval}, 0, false, actRead},
 	}
 	process := func(vm string) uint64 {
 		if vm == "restarted" {
@@ -45,17 +45,17 @@
 			t.Errorf("%s: action %d, want %d", name, got, tt.want)
 		}
 	}
-	l := lease{self: "a", term: 3, renewed: at - leaseTTL, read: true, owner: "a"}
+	l := lease{self: "a", term: 3, renewedAt: at - leaseTTL, versionKnown: true, owner: "a"}
 	if l.valid(at) {
-		t.Error("the lease is valid after its time")
+		t.Error("the lease is valid after leaseTTL")
 	}
 	if l.next(0, false, process, at); l.term != 0 {
-		t.Error("an owner without a valid lease does not resign")
+		t.Error("an owner whose lease has expired did not resign")
 	}
-	l = lease{self: "a", read: true, version: 3, owner: "b", seen: at - leaseTTL}
-	l.observed(platform.Version(4), other, nil, true, at)
-	if l.free(at + leaseTTL) {
-		t.Error("a renewed lease is taken over")
+	l = lease{self: "a", versionKnown: true, version: 3, owner: "b", versionReadAt: at - leaseTTL}
+	l.handleRead(platform.Version(4), other, nil, true, at)
+	if l.canTakeOver(at + leaseTTL) {
+		t.Error("a renewed lease can be taken over")
 	}
 }
 
@@ -66,20 +66,21 @@
 	}
 	for _, packed := range []string{"", "not packed", packHolders(nil), base64.StdEncoding.EncodeToString([]byte("noise"))} {
 		if got := unpackHolders(packed); len(got) > 0 {
-			t.Errorf("%q names %v", packed, got)
+			t.Errorf("unpackHolders(%q) = %v, want none", packed, got)
 		}
 	}
 }
 
-// The VMs of a restarted fleet need not all report before shares are granted again.
-func TestEndedProcessesHoldNothing(t *testing.T) {
+// A process that was replaced holds no shares. Otherwise, after a restart of all VMs, the granter would
+// wait for reports of processes that no longer exist.
+func TestEndedProcessesHoldNoShares(t *testing.T) {
 	set := holderSet{"a": processID(1), "b": processID(1), "c": processID(1)}
 	view := &membership.View{Members: []membership.Member{{Name: "a", Process: 1}, {Name: "b", Process: 2}, {Name: "d", Process: 2}}}
-	got := set.ended(view)
+	got := set.withEndedProcess(view)
 	if len(got) != 1 || got[0] != "b" {
-		t.Errorf("ended: %v", got)
+		t.Errorf("VMs with ended process: %v, want b", got)
 	}
 	if rest := set.without(got); len(rest) != 2 || len(set) != 3 {
-		t.Errorf("%v without them: %v", set, rest)
+		t.Errorf("%v without the ended processes: got %v", set, rest)
 	}
 }
--- a/internal/ratelimit/calm_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -10,42 +10,42 @@
 	"masticturn/internal/platform"
 )
 
-func TestLimitsInCalmFleets(t *testing.T) {
-	const length = 20 * time.Second
+func TestLimitsWithoutFaults(t *testing.T) {
+	const duration = 20 * time.Second
 	tests := map[string]struct {
-		limit   customer.Limit
-		offered float64 // requests/s
-		least   float64 // requests/s that run
-		pick    func(f *fleet) func() *testVM
+		limit     customer.Limit
+		offered   float64 // requests/s
+		minServed float64 // requests/s that must run
+		pick      func(f *fleet) func() *testVM
 	}{
-		"far beyond the limit": {customer.Limit{PerSecond: 40, Burst: 40}, 200, 0.9 * 40, func(f *fleet) func() *testVM { return f.any }},
-		"all by one VM": {customer.Limit{PerSecond: 40, Burst: 40}, 200, 0.8 * 40, func(f *fleet) func() *testVM {
+		"far above the limit": {customer.Limit{PerSecond: 40, Burst: 40}, 200, 0.9 * 40, func(f *fleet) func() *testVM { return f.randomVM }},
+		"all at one VM": {customer.Limit{PerSecond: 40, Burst: 40}, 200, 0.8 * 40, func(f *fleet) func() *testVM {
 			return func() *testVM { return f.vms[0] }
 		}},
 		"moving every four seconds": {customer.Limit{PerSecond: 40, Burst: 40}, 200, 0.65 * 40, func(f *fleet) func() *testVM {
 			start := time.Now()
 			return func() *testVM { return f.vms[int(time.Since(start)/(4*time.Second))%3+3*f.random.IntN(len(f.vms)/3)] }
 		}},
-		"a small limit, below it": {customer.Limit{PerSecond: 4, Burst: 4}, 2.7, 0.97 * 2.7, func(f *fleet) func() *testVM { return f.any }},
-		"a large limit, below it": {customer.Limit{PerSecond: 389, Burst: 389}, 250, 0.97 * 250, func(f *fleet) func() *testVM { return f.any }},
+		"below a small limit": {customer.Limit{PerSecond: 4, Burst: 4}, 2.7, 0.97 * 2.7, func(f *fleet) func() *testVM { return f.randomVM }},
+		"below a large limit": {customer.Limit{PerSecond: 389, Burst: 389}, 250, 0.97 * 250, func(f *fleet) func() *testVM { return f.randomVM }},
 	}
 	for name, tt := range tests {
 		for _, size := range []int{6, 84} {
 			t.Run(fmt.Sprintf("%s, %d VMs", name, size), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFleet(t, 1, size, tt.limit)
-					f.settle()
-					f.offer("c0", tt.offered, length, tt.pick(f))
+					f.waitForGranter()
+					f.offer("c0", tt.offered, duration, tt.pick(f))
 					time.Sleep(time.Second)
-					ran, asked := f.served("c0")
-					least := tt.least * length.Seconds()
-					if tt.offered < tt.limit.PerSecond { // what was offered is drawn
-						least = tt.least / tt.offered * float64(asked)
+					ran, asked := f.results("c0")
+					minServed := tt.minServed * duration.Seconds()
+					if tt.offered < tt.limit.PerSecond { // the number of offered requests is random
+						minServed = tt.minServed / tt.offered * float64(asked)
 					}
-					if float64(ran) < least {
-						t.Errorf("%d of %d requests ran, want at least %.0f", ran, asked, least)
+					if float64(ran) < minServed {
+						t.Errorf("%d of %d requests ran, want at least %.0f", ran, asked, minServed)
 					}
-					if most, bound := f.most("c0"), testTolerance.Bound(tt.limit); float64(most) > bound {
+					if most, bound := f.maxInWindow("c0"), testTolerance.Bound(tt.limit); float64(most) > bound {
 						t.Errorf("%d requests in a window, want at most %.0f", most, bound)
 					}
 				})
@@ -54,10 +54,10 @@
 	}
 }
 
-func TestCustomersWithoutLimitsCostNothing(t *testing.T) {
+func TestCustomersWithoutLimitsCauseNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 6, customer.Limit{})
-		f.offer("c0", 100, 5*time.Second, f.any)
+		f.offer("c0", 100, 5*time.Second, f.randomVM)
 		if calls := f.store.Calls(platform.OpGet) + f.store.Calls(platform.OpCreate); calls > 0 {
 			t.Errorf("%d calls to the store", calls)
 		}
@@ -67,13 +67,14 @@
 	})
 }
 
-// A restarted fleet serves customers again soon, though nobody knows what was granted before.
+// After all VMs restart, requests must run again soon, although no VM knows the shares that were granted
+// before.
 func TestLimitsAfterAllVMsRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := customer.Limit{PerSecond: 40, Burst: 40}
 		f := newFleet(t, 1, 12, limit)
-		f.settle()
-		f.offer("c0", 30, 5*time.Second, f.any)
+		f.waitForGranter()
+		f.offer("c0", 30, 5*time.Second, f.randomVM)
 		for _, vm := range f.vms {
 			f.kill(vm)
 		}
@@ -82,22 +83,22 @@
 			f.start(vm)
 		}
 		f.setViews()
-		f.offer("c0", 30, 2*time.Second, f.any)
-		f.reset()
-		f.offer("c0", 30, 5*time.Second, f.any)
-		if ran, asked := f.served("c0"); float64(ran) < 0.9*float64(asked) {
+		f.offer("c0", 30, 2*time.Second, f.randomVM)
+		f.resetResults()
+		f.offer("c0", 30, 5*time.Second, f.randomVM)
+		if ran, asked := f.results("c0"); float64(ran) < 0.9*float64(asked) {
 			t.Errorf("%d of %d requests ran two seconds after the restart", ran, asked)
 		}
 	})
 }
 
-// A granter that dies is replaced before the shares expire.
+// After the granter dies, another VM must take over before the shares expire.
 func TestLimitsAfterTheGranterDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 12, customer.Limit{PerSecond: 40, Burst: 40})
-		f.settle()
-		f.offer("c0", 30, 5*time.Second, f.any)
-		f.reset()
+		f.waitForGranter()
+		f.offer("c0", 30, 5*time.Second, f.randomVM)
+		f.resetResults()
 		granter := granterOf(f.vms[0].View())
 		for _, vm := range f.vms {
 			if vm.name == granter {
@@ -106,14 +107,14 @@
 		}
 		alive := func() *testVM {
 			for {
-				if vm := f.any(); !vm.dead {
+				if vm := f.randomVM(); !vm.dead {
 					return vm
 				}
 			}
 		}
 		f.offer("c0", 30, 12*time.Second, alive)
 		time.Sleep(time.Second)
-		if ran, asked := f.served("c0"); float64(ran) < 0.9*float64(asked) {
+		if ran, asked := f.results("c0"); float64(ran) < 0.9*float64(asked) {
 			t.Errorf("%d of %d requests ran", ran, asked)
 		}
 	})
--- a/internal/ratelimit/messages.go
+++ b/internal/ratelimit/messages.go
@@ -1,9 +1,9 @@
 package ratelimit
 
-// report is the message of peer.KindLimitReport, a call to the granter.
+// report is the request of peer.KindLimitReport, which a holder sends to the granter.
 type report struct {
 	Incarnation uint64 // of the sender's process
-	Number      uint64 // increases with each report of the process
+	Number      uint64 // increases with every report of the process
 	Entries     []reportEntry
 }
 
@@ -11,52 +11,55 @@
 type reportEntry struct {
 	Customer string
 	Demand   float64 // requests/s
-	Rate     float64 // of the share in force; 0: none
-	Burst    int
+	Rate     float64 // requests/s of the share in force; 0: none
+	Burst    int     // of the share in force
 }
 
-func (e *reportEntry) held() Share { return Share{e.Rate, e.Burst} }
+// share returns the share in force at the sender; it is empty if there is none.
+func (e *reportEntry) share() Share { return Share{e.Rate, e.Burst} }
 
-// grants is the answer to a report. Its shares hold for shareTTL from the sending of the report.
-type grants struct {
+// reportResponse is the response to a report. Its shares are valid for shareTTL from the time at which
+// the report was sent.
+type reportResponse struct {
 	Term    uint64
 	Entries []grantEntry
 }
 
-// grantEntry is a share of a customer's budget.
+// grantEntry grants a share of a customer's budget.
 type grantEntry struct {
 	Customer string
-	Rate     float64
+	Rate     float64 // requests/s
 	Burst    int
 	Fill     int // tokens that a new bucket starts with
 }
 
-// takeRequest is the message of peer.KindLimitTake, a call to a holder: one request of a customer.
+// takeRequest is the request of peer.KindLimitTake, which asks a holder for a token for one request of
+// a customer.
 type takeRequest struct {
 	Customer string
 }
 
-// takeAnswer is its answer.
-type takeAnswer struct {
-	Result verdict
-	WaitMS uint32 // until a token is expected, if the limit is reached
+// takeResponse is the response to a takeRequest.
+type takeResponse struct {
+	Result takeResult
+	WaitMS uint32 // time until a token is expected, if the limit is reached
 }
 
-// verdict is the result of taking a token.
-type verdict uint8
+// takeResult is the result of an attempt to take a token.
+type takeResult uint8
 
 const (
-	verdictUnknown verdict = iota // the holder has no share
-	verdictTaken
-	verdictOver // the limit is reached
+	resultUnknown takeResult = iota // the holder has no share
+	resultTaken
+	resultOverLimit // the limit is reached
 )
 
-// String returns the name used in metrics.
-func (v verdict) String() string {
-	switch v {
-	case verdictTaken:
+// String returns the value of the metric label.
+func (r takeResult) String() string {
+	switch r {
+	case resultTaken:
 		return "allowed"
-	case verdictOver:
+	case resultOverLimit:
 		return "over"
 	}
 	return "unknown"
--- a/internal/ratelimit/meter.go
+++ b/internal/ratelimit/meter.go
@@ -7,10 +7,10 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// maxSeries bounds the customers with counters of their own; others share one.
+// maxSeries limits the number of customers that have counters of their own.
 const maxSeries = 256
 
-// otherCustomers is the label of customers without counters of their own.
+// otherCustomers is the label value shared by all customers without counters of their own.
 const otherCustomers = "(other)"
 
 // meter counts the results of Take by customer.
@@ -24,14 +24,16 @@
 
 type meterKey struct {
 	customer string
-	result   verdict
+	result   takeResult
 }
 
+// newMeter returns a meter that registers its counters in set.
 func newMeter(set *metrics.Set) *meter {
 	return &meter{set: set, counters: make(map[meterKey]*metrics.Counter), names: make(map[string]bool)}
 }
 
-func (m *meter) count(customer string, result verdict) {
+// count counts a result of Take for a customer.
+func (m *meter) count(customer string, result takeResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.names[customer] {
--- a/internal/ratelimit/service.go
+++ b/internal/ratelimit/service.go
@@ -20,52 +20,53 @@
 // ServiceName is the name under which the service is registered.
 const ServiceName = "ratelimit"
 
-// Deps is what a Service needs.
+// Deps are the dependencies of a Service.
 type Deps struct {
-	Self        string // VM
+	Self        string // name of this VM
 	Region      string
 	Incarnation uint64 // of this process
 	Tolerance   Tolerance
-	Customers   func() *customer.Directory // of the document in force; nil: none
-	Regions     int                        // of the deployment
+	Customers   func() *customer.Directory // customers of the document in force; nil: none
+	Regions     int                        // number of regions of the deployment
 	Store       platform.Store
 	Network     peer.Network
 	Members     membership.Source
-	Joined      func() bool
-	Announce    func(term uint64) // publishes this VM's term to the other VMs as granter
+	Joined      func() bool       // whether the other VMs are known
+	Announce    func(term uint64) // tells the other VMs this VM's term as granter; 0: not the granter
 	Boot        kernel.BootClock
 	Logger      *telemetry.Logger
 	Metrics     *metrics.Set
 }
 
-// Service enforces the limits: it holds shares of budgets, and at one VM grants them.
+// Service enforces rate limits. It holds shares of customers' budgets, and on the VM that is the granter
+// it also grants them.
 type Service struct {
-	deps   Deps
-	seed   maphash.Seed
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	urgent chan struct{} // a report is due
-	// stopFollowing ends the subscription to the members.
-	stopFollowing func()
-	meter         *meter
-
-	mu       sync.Mutex
-	holder   *holder
-	lease    lease
-	granter  *granter // nil: this VM is not the granter
-	leaving  bool
-	told     uint64        // term as announced
-	granted  chan struct{} // closed and replaced when shares arrive
-	reported uint64        // term to which this VM has reported
-	holders  holderCache
-	skip     map[string]time.Duration // holders that failed
-	denied   map[string]denial        // by customer
+	deps      Deps
+	seed      maphash.Seed
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	reportDue chan struct{} // signals that a report should be sent immediately
+	// unsubscribe ends the subscription to member views.
+	unsubscribe func()
+	meter       *meter
+
+	mu             sync.Mutex
+	holder         *holder
+	lease          lease
+	granter        *granter // nil: this VM is not the granter
+	leaving        bool
+	announcedTerm  uint64        // the term that was last announced
+	sharesReceived chan struct{} // closed and replaced when shares arrive
+	reportedTerm   uint64        // term of the granter that answered this VM's last report
+	holders        holderCache
+	skipUntil      map[string]time.Duration // by holder that failed
+	refusals       map[string]cachedRefusal // by customer
 }
 
-// denial is a refusal by a holder.
-type denial struct {
-	until time.Duration // it is repeated without asking
-	wait  time.Duration
+// cachedRefusal is a refusal by a holder. It is repeated without asking the holder until validUntil.
+type cachedRefusal struct {
+	validUntil time.Duration
+	wait       time.Duration // until a token is expected
 }
 
 var (
@@ -73,18 +74,18 @@
 	_ Limiter        = (*Service)(nil)
 )
 
-// NewService returns a service.
+// NewService returns a Service and registers its message handlers.
 func NewService(d Deps) *Service {
 	s := &Service{
-		deps:    d,
-		seed:    maphash.MakeSeed(),
-		urgent:  make(chan struct{}, 1),
-		meter:   newMeter(d.Metrics),
-		holder:  newHolder(d.Incarnation),
-		lease:   lease{self: d.Self},
-		granted: make(chan struct{}),
-		skip:    make(map[string]time.Duration),
-		denied:  make(map[string]denial),
+		deps:           d,
+		seed:           maphash.MakeSeed(),
+		reportDue:      make(chan struct{}, 1),
+		meter:          newMeter(d.Metrics),
+		holder:         newHolder(d.Incarnation),
+		lease:          lease{self: d.Self},
+		sharesReceived: make(chan struct{}),
+		skipUntil:      make(map[string]time.Duration),
+		refusals:       make(map[string]cachedRefusal),
 	}
 	d.Network.Handle(peer.KindLimitTake, s.handleTake)
 	d.Network.Handle(peer.KindLimitReport, s.handleReport)
@@ -97,53 +98,54 @@
 // Start implements kernel.Service.
 func (s *Service) Start(ctx context.Context) error {
 	ctx, s.cancel = context.WithCancel(ctx)
-	s.stopFollowing = s.deps.Members.Subscribe(s.follow)
-	s.wg.Go(func() { wait.Every(ctx, electionInterval, func() { s.elect(ctx) }) })
+	s.unsubscribe = s.deps.Members.Subscribe(s.onMembersChanged)
+	s.wg.Go(func() { wait.Every(ctx, electionInterval, func() { s.stepElection(ctx) }) })
 	s.wg.Go(func() { s.runReports(ctx) })
 	return nil
 }
 
-// follow reports to a new granter at once, as it grants little before all have reported.
-func (s *Service) follow(view *membership.View) {
+// onMembersChanged requests a report if there is a new granter. A new granter grants little until all
+// holders have reported.
+func (s *Service) onMembersChanged(view *membership.View) {
 	m, _ := view.Member(granterOf(view))
 	s.mu.Lock()
-	due := m.Term != 0 && m.Term != s.reported
+	due := m.Term != 0 && m.Term != s.reportedTerm
 	s.mu.Unlock()
 	if due {
 		s.requestReport()
 	}
 }
 
-// requestReport makes a report due.
+// requestReport requests that a report be sent immediately.
 func (s *Service) requestReport() {
 	select {
-	case s.urgent <- struct{}{}:
-	default: // already due
+	case s.reportDue <- struct{}{}:
+	default: // already requested
 	}
 }
 
-// Drain implements kernel.Service: another VM takes the lease over.
+// Drain implements kernel.Service. It releases the lease, so that another VM can take it over.
 func (s *Service) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.leaving = true
 	s.mu.Unlock()
-	s.release(ctx)
-	s.announce()
+	s.releaseLease(ctx)
+	s.announceTerm()
 	return nil
 }
 
 // Stop implements kernel.Service.
 func (s *Service) Stop(context.Context) error {
-	s.stopFollowing()
+	s.unsubscribe()
 	s.cancel()
 	s.wg.Wait()
 	return nil
 }
 
-// limited reports whether the document has limits; s.mu is held.
-func (s *Service) limited() bool { return s.deps.Customers().Limited() }
+// hasLimits reports whether any customer has a limit. s.mu must be held.
+func (s *Service) hasLimits() bool { return s.deps.Customers().Limited() }
 
-// limitOf returns a customer's limit by the document in force here.
+// limitOf returns a customer's limit according to the document in force at this VM.
 func (s *Service) limitOf(name string) customer.Limit {
 	if c := s.deps.Customers().ByName(name); c != nil {
 		return c.Limit
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/strategies_test.go
@@ -9,37 +9,37 @@
 	"masticturn/internal/customer"
 )
 
-// way is a way to share a limit among VMs.
-type way interface {
+// strategy is a method of splitting a limit among VMs.
+type strategy interface {
 	// take reports whether a request that arrives at a VM runs.
 	take(vm int, now time.Duration) bool
 	// tick is called every reportInterval.
 	tick(now time.Duration)
 }
 
-// loadStart is when loads begin, on the boot clock.
+// loadStart is the start of each simulated load on the boot clock.
 const loadStart = 2 * time.Second
 
-// equalShares gives every VM the same part of the budget.
+// equalShares gives every VM the same share of the budget.
 type equalShares struct{ buckets []*bucket }
 
 func newEqualShares(b Budget, vms int) *equalShares {
 	w := &equalShares{}
 	for range vms {
 		share := Share{Rate: b.Rate / float64(vms), Burst: int(b.Burst) / vms}
-		w.buckets = append(w.buckets, newBucket(share, share.Burst, wallOf(0)))
+		w.buckets = append(w.buckets, newBucket(share, share.Burst, wallTime(0)))
 	}
 	return w
 }
 
 func (w *equalShares) take(vm int, now time.Duration) bool {
-	ok, _ := w.buckets[vm].take(wallOf(now))
+	ok, _ := w.buckets[vm].take(wallTime(now))
 	return ok
 }
 
 func (*equalShares) tick(time.Duration) {}
 
-// demandShares splits the budget by demand among holders; a VM asks that of its group.
+// demandShares splits the budget by demand among holders. A VM asks the holder of its group for tokens.
 type demandShares struct {
 	budget  Budget
 	holders []*holder
@@ -49,10 +49,10 @@
 
 func newDemandShares(b Budget, limit customer.Limit, holders int, group func(vm int) int) *demandShares {
 	w := &demandShares{budget: b, granter: newGranter(1, testTolerance, nil, true, time.Second), group: group}
-	w.granter.fleet = func(Budget) int { return holders }
-	for i := range holders { // shares are asked for at the start
+	w.granter.expectedHolders = func(Budget) int { return holders }
+	for i := range holders { // holders request their shares at the start
 		w.holders = append(w.holders, newHolder(1))
-		w.holders[i].expect("c", loadStart)
+		w.holders[i].requestShare("c", loadStart)
 		w.report(i, loadStart)
 	}
 	return w
@@ -60,25 +60,25 @@
 
 func (w *demandShares) take(vm int, now time.Duration) bool {
 	h := w.holders[w.group(vm)]
-	h.count("c", now)
+	h.recordRequest("c", now)
 	result, wait := h.take("c", now)
-	if result == verdictUnknown {
+	if result == resultUnknown {
 		w.report(w.group(vm), now)
 		result, wait = h.take("c", now)
 	}
-	if result == verdictOver && wait <= tokenWait {
+	if result == resultOverLimit && wait <= maxTokenWait {
 		result, _ = h.take("c", now+wait)
 	}
-	return result == verdictTaken
+	return result == resultTaken
 }
 
 func (w *demandShares) report(i int, now time.Duration) {
-	limit := customer.Limit{PerSecond: w.budget.Rate / (1 + rateOverageShare*testTolerance.Overage)}
-	limit.Burst = w.budget.Burst - burstShare*testTolerance.Slack
-	limit.Burst /= 1 + burstShare*testTolerance.Overage
-	got, ok := w.granter.report(fmt.Sprint(i), w.holders[i].report(now), func(string) customer.Limit { return limit }, now)
+	limit := customer.Limit{PerSecond: w.budget.Rate / (1 + rateOverageFraction*testTolerance.Overage)}
+	limit.Burst = w.budget.Burst - burstSlackFraction*testTolerance.Slack
+	limit.Burst /= 1 + burstSlackFraction*testTolerance.Overage
+	resp, ok := w.granter.report(fmt.Sprint(i), w.holders[i].report(now), func(string) customer.Limit { return limit }, now)
 	if ok {
-		w.holders[i].apply(got, now, now)
+		w.holders[i].apply(resp, now, now)
 	}
 }
 
@@ -88,13 +88,13 @@
 	}
 }
 
-// served returns the share of a load that runs.
-func served(w way, vms int, perSecond float64, pick func(random *rand.Rand, now time.Duration) int) float64 {
-	const length = 30 * time.Second
+// servedFraction returns the fraction of a load's requests that run.
+func servedFraction(w strategy, vms int, perSecond float64, pick func(random *rand.Rand, now time.Duration) int) float64 {
+	const duration = 30 * time.Second
 	random := rand.New(rand.NewPCG(5, uint64(vms)))
 	now, next := loadStart, loadStart
 	ran, asked := 0, 0
-	for now < length {
+	for now < duration {
 		now += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		for next < now {
 			w.tick(next)
@@ -108,15 +108,16 @@
 	return float64(ran) / float64(asked)
 }
 
-// The built way serves requests below a limit at least as well as the other ways, on each load.
+// Under every load, the strategy that the service implements must serve at least as large a fraction of
+// the requests as equal shares and as shares at all VMs, to within 0.02.
 func TestWaysToShareALimit(t *testing.T) {
 	const vms, regions = 84, 3
 	evenly := func(random *rand.Rand, _ time.Duration) int { return random.IntN(vms) }
 	loads := map[string]struct {
-		limit   float64
-		offered float64
-		least   float64 // share of the requests that must run
-		pick    func(random *rand.Rand, now time.Duration) int
+		limit     float64
+		offered   float64
+		minServed float64 // fraction of the requests that must run
+		pick      func(random *rand.Rand, now time.Duration) int
 	}{
 		"small, at all VMs":  {4, 2.7, 0.97, evenly},
 		"small, at one VM":   {4, 2.7, 0.8, func(*rand.Rand, time.Duration) int { return 7 }},
@@ -125,25 +126,25 @@
 		"middle, moving": {40, 27, 0.65, func(random *rand.Rand, now time.Duration) int {
 			return int(now/(4*time.Second))%3 + 3*random.IntN(vms/3)
 		}},
-		"large, at all VMs":     {389, 260, 0.97, evenly},
-		"large, at ten VMs":     {389, 260, 0.8, func(random *rand.Rand, _ time.Duration) int { return random.IntN(10) }},
-		"large, beyond its end": {389, 800, 0, evenly},
+		"large, at all VMs":      {389, 260, 0.97, evenly},
+		"large, at ten VMs":      {389, 260, 0.8, func(random *rand.Rand, _ time.Duration) int { return random.IntN(10) }},
+		"large, above the limit": {389, 800, 0, evenly},
 	}
 	for name, l := range loads {
 		limit := customer.Limit{PerSecond: l.limit, Burst: l.limit}
 		b := testTolerance.Budget(limit)
 		perRegion := min(holderCount(b, regions), vms/regions)
-		equal := served(newEqualShares(b, vms), vms, l.offered, l.pick)
-		demand := served(newDemandShares(b, limit, vms, func(vm int) int { return vm }), vms, l.offered, l.pick)
-		built := served(newDemandShares(b, limit, regions*perRegion, func(vm int) int {
+		equal := servedFraction(newEqualShares(b, vms), vms, l.offered, l.pick)
+		allVMs := servedFraction(newDemandShares(b, limit, vms, func(vm int) int { return vm }), vms, l.offered, l.pick)
+		implemented := servedFraction(newDemandShares(b, limit, regions*perRegion, func(vm int) int {
 			return vm%regions*perRegion + vm/regions%perRegion
 		}), vms, l.offered, l.pick)
-		t.Logf("%-22s equal %.3f, by demand at all VMs %.3f, built %.3f", name, equal, demand, built)
-		if built < max(equal, demand)-0.02 {
-			t.Errorf("%s: %.3f of the requests run, %.3f with equal shares, %.3f with shares of all VMs", name, built, equal, demand)
+		t.Logf("%-22s equal %.3f, by demand at all VMs %.3f, implemented %.3f", name, equal, allVMs, implemented)
+		if implemented < max(equal, allVMs)-0.02 {
+			t.Errorf("%s: %.3f of the requests ran, %.3f with equal shares, %.3f with shares at all VMs", name, implemented, equal, allVMs)
 		}
-		if built < l.least {
-			t.Errorf("%s: %.3f of the requests run, want at least %.2f", name, built, l.least)
+		if implemented < l.minServed {
+			t.Errorf("%s: %.3f of the requests ran, want at least %.2f", name, implemented, l.minServed)
 		}
 	}
 }
--- a/internal/ratelimit/take.go
+++ b/internal/ratelimit/take.go
@@ -13,33 +13,35 @@
 )
 
 const (
-	// shareWait is how long a request waits for this VM's first share of its customer's limit.
-	shareWait = 250 * time.Millisecond
-	// takeTimeout bounds the call of a holder, which may wait for a share.
-	takeTimeout = shareWait + tokenWait + 100*time.Millisecond
-	// skipFor is how long a holder that failed is skipped.
-	skipFor = time.Second
-	// maxHolderTries bounds the holders that a request tries.
+	// maxShareWait is how long a request waits for this VM's first share of its customer's budget.
+	maxShareWait = 250 * time.Millisecond
+	// takeTimeout limits a call to a holder, which may wait for a share and a token.
+	takeTimeout = maxShareWait + maxTokenWait + 100*time.Millisecond
+	// failedHolderSkip is how long a holder is skipped after a failed call.
+	failedHolderSkip = time.Second
+	// maxHolderTries limits the number of holders that are tried for a request.
 	maxHolderTries = 2
-	// tokenWait is how long requests wait for a token. Only as many do as get one in that time.
-	tokenWait = 50 * time.Millisecond
-	// unknownRetryAfter is the Retry-After while no holder knows its share. Without a granter it is
-	// electionRetryAfter to twice that, which an election takes.
+	// maxTokenWait is how long a request waits for a token. No more requests wait than are expected to
+	// get a token in that time.
+	maxTokenWait = 50 * time.Millisecond
+	// unknownRetryAfter is the Retry-After while no holder knows its share. Without a granter that this
+	// VM has reported to, it is between electionRetryAfter and twice that, the time that an election
+	// takes.
 	unknownRetryAfter  = 200 * time.Millisecond
 	electionRetryAfter = 500 * time.Millisecond
-	// denialMemory bounds how long a refusal by a holder is repeated here without asking it.
-	denialMemory = 50 * time.Millisecond
+	// refusalCacheTTL limits how long a holder's refusal is repeated without asking the holder again.
+	refusalCacheTTL = 50 * time.Millisecond
 )
 
-// Refusal is a request that the limiter refuses.
+// Refusal describes why a request was refused and when to retry it.
 type Refusal struct {
-	Over       bool // the limit is reached; else its state is not known here
+	Over       bool // the limit is reached; otherwise, its state is not known at this VM
 	RetryAfter time.Duration
 }
 
 // Limiter enforces rate limits.
 type Limiter interface {
-	// Take takes one request from a customer's limit; nil: it may run.
+	// Take counts one request toward a customer's limit. It returns nil if the request may run.
 	Take(ctx context.Context, c *customer.Customer) *Refusal
 }
 
@@ -51,93 +53,94 @@
 	result, wait := s.take(ctx, c)
 	s.meter.count(c.Name, result)
 	switch result {
-	case verdictTaken:
+	case resultTaken:
 		return nil
-	case verdictOver:
+	case resultOverLimit:
 		return &Refusal{Over: true, RetryAfter: max(wait, time.Millisecond)}
 	}
-	return &Refusal{RetryAfter: s.unknownRetry()}
+	return &Refusal{RetryAfter: s.retryAfterUnknown()}
 }
 
-// unknownRetry returns when to come back for a request whose limit is not known here.
-func (s *Service) unknownRetry() time.Duration {
+// retryAfterUnknown returns the Retry-After of a request whose limit's state is not known at this VM.
+func (s *Service) retryAfterUnknown() time.Duration {
 	view := s.deps.Members.View()
 	m, _ := view.Member(granterOf(view))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m.Term != 0 && m.Term == s.reported {
+	if m.Term != 0 && m.Term == s.reportedTerm {
 		return unknownRetryAfter
 	}
 	return electionRetryAfter + time.Duration(rand.Float64()*float64(electionRetryAfter))
 }
 
-// take asks the holders of the region, of which this VM may be one.
-func (s *Service) take(ctx context.Context, c *customer.Customer) (verdict, time.Duration) {
+// take takes a token from this VM's share if it is a holder, or else asks the region's holders.
+func (s *Service) take(ctx context.Context, c *customer.Customer) (takeResult, time.Duration) {
 	holders := s.holdersOf(c)
 	if len(holders) == 0 || slices.Contains(holders, s.deps.Self) {
-		return s.takeHere(ctx, c)
+		return s.takeLocal(ctx, c)
 	}
-	if wait, ok := s.deniedLately(c.Name); ok {
-		return verdictOver, wait
+	if wait, ok := s.recentRefusal(c.Name); ok {
+		return resultOverLimit, wait
 	}
 	tries := 0
 	first := int(maphash.String(s.seed, c.Name) % uint64(len(holders)))
 	for i := range holders {
 		vm := holders[(first+i)%len(holders)]
-		if tries == maxHolderTries || s.skipped(vm) {
+		if tries == maxHolderTries || s.isSkipped(vm) {
 			continue
 		}
 		tries++
-		if result, wait := s.takeFrom(ctx, vm, c.Name); result != verdictUnknown {
+		if result, wait := s.takeRemote(ctx, vm, c.Name); result != resultUnknown {
 			return result, wait
 		}
 	}
-	return verdictUnknown, 0
+	return resultUnknown, 0
 }
 
-// takeHere takes a token of this VM's share. The first requests of a customer wait for the share, and
-// a few requests wait shortly for a token.
-func (s *Service) takeHere(ctx context.Context, c *customer.Customer) (verdict, time.Duration) {
+// takeLocal takes a token from this VM's share. The first requests of a customer wait for the share,
+// and a few requests wait for a token for a short time.
+func (s *Service) takeLocal(ctx context.Context, c *customer.Customer) (takeResult, time.Duration) {
 	s.mu.Lock()
 	now := s.deps.Boot.SinceBoot()
-	s.holder.count(c.Name, now)
+	s.holder.recordRequest(c.Name, now)
 	result, wait := s.holder.take(c.Name, now)
-	granted := s.granted
+	received := s.sharesReceived
 	s.mu.Unlock()
-	if result == verdictUnknown && granterOf(s.deps.Members.View()) != "" {
-		result, wait = s.awaitShare(ctx, c.Name, granted)
+	if result == resultUnknown && granterOf(s.deps.Members.View()) != "" {
+		result, wait = s.awaitShare(ctx, c.Name, received)
 	}
-	if result == verdictOver {
+	if result == resultOverLimit {
 		return s.awaitToken(ctx, c.Name, wait)
 	}
 	return result, wait
 }
 
-// awaitShare waits for this VM's first share of a customer's limit.
-func (s *Service) awaitShare(ctx context.Context, name string, granted <-chan struct{}) (verdict, time.Duration) {
+// awaitShare requests a report and waits up to maxShareWait for this VM's first share of a customer's
+// budget.
+func (s *Service) awaitShare(ctx context.Context, name string, received <-chan struct{}) (takeResult, time.Duration) {
 	s.requestReport()
-	timer := time.NewTimer(shareWait)
+	timer := time.NewTimer(maxShareWait)
 	defer timer.Stop()
 	for {
 		select {
-		case <-granted:
+		case <-received:
 		case <-timer.C:
-			return verdictUnknown, 0
+			return resultUnknown, 0
 		case <-ctx.Done():
-			return verdictUnknown, 0
+			return resultUnknown, 0
 		}
 		s.mu.Lock()
 		result, wait := s.holder.take(name, s.deps.Boot.SinceBoot())
-		granted = s.granted
+		received = s.sharesReceived
 		s.mu.Unlock()
-		if result != verdictUnknown {
+		if result != resultUnknown {
 			return result, wait
 		}
 	}
 }
 
-// awaitToken waits for a token that is expected shortly, or refuses the request.
-func (s *Service) awaitToken(ctx context.Context, name string, wait time.Duration) (verdict, time.Duration) {
+// awaitToken waits for a token that is expected within maxTokenWait, or refuses the request.
+func (s *Service) awaitToken(ctx context.Context, name string, wait time.Duration) (takeResult, time.Duration) {
 	s.mu.Lock()
 	queued := s.holder.enqueue(name, wait)
 	s.mu.Unlock()
@@ -145,15 +148,15 @@
 		return s.refuse(name, wait)
 	}
 	defer s.dequeue(name)
-	deadline := s.deps.Boot.SinceBoot() + tokenWait
+	deadline := s.deps.Boot.SinceBoot() + maxTokenWait
 	for s.deps.Boot.SinceBoot()+wait <= deadline {
 		if !pause.For(ctx, wait) {
-			return verdictUnknown, 0
+			return resultUnknown, 0
 		}
 		s.mu.Lock()
 		result, next := s.holder.take(name, s.deps.Boot.SinceBoot())
 		s.mu.Unlock()
-		if result != verdictOver {
+		if result != resultOverLimit {
 			return result, next
 		}
 		wait = next
@@ -167,61 +170,63 @@
 	s.holder.dequeue(name)
 }
 
-func (s *Service) refuse(name string, wait time.Duration) (verdict, time.Duration) {
+// refuse returns the refusal of a request whose customer has reached its limit.
+func (s *Service) refuse(name string, wait time.Duration) (takeResult, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return verdictOver, s.holder.refuse(name, wait, s.deps.Boot.SinceBoot())
+	return resultOverLimit, s.holder.retryAfter(name, wait, s.deps.Boot.SinceBoot())
 }
 
-// takeFrom asks a holder for a token.
-func (s *Service) takeFrom(ctx context.Context, vm, name string) (verdict, time.Duration) {
+// takeRemote asks another VM that is a holder for a token.
+func (s *Service) takeRemote(ctx context.Context, vm, name string) (takeResult, time.Duration) {
 	callCtx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
-	var a takeAnswer
-	err := s.deps.Network.Call(callCtx, vm, peer.KindLimitTake, &takeRequest{Customer: name}, &a)
+	var resp takeResponse
+	err := s.deps.Network.Call(callCtx, vm, peer.KindLimitTake, &takeRequest{Customer: name}, &resp)
 	now := s.deps.Boot.SinceBoot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		if ctx.Err() == nil { // the caller still waits
-			s.skip[vm] = now + skipFor
+		if ctx.Err() == nil { // the caller has not given up
+			s.skipUntil[vm] = now + failedHolderSkip
 		}
-		return verdictUnknown, 0
+		return resultUnknown, 0
 	}
-	wait := time.Duration(a.WaitMS) * time.Millisecond
-	if a.Result == verdictOver {
-		s.denied[name] = denial{until: now + min(wait, denialMemory), wait: wait}
+	wait := time.Duration(resp.WaitMS) * time.Millisecond
+	if resp.Result == resultOverLimit {
+		s.refusals[name] = cachedRefusal{validUntil: now + min(wait, refusalCacheTTL), wait: wait}
 	}
-	return a.Result, wait
+	return resp.Result, wait
 }
 
-// deniedLately reports whether a holder has just refused the customer. The wait is jittered, as its
-// callers would come back together.
-func (s *Service) deniedLately(name string) (time.Duration, bool) {
+// recentRefusal reports whether a holder has just refused a request of the customer. The wait includes
+// jitter, so that the customer's callers do not retry at the same time.
+func (s *Service) recentRefusal(name string) (time.Duration, bool) {
 	now := s.deps.Boot.SinceBoot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, ok := s.denied[name]
-	if !ok || now >= d.until {
-		delete(s.denied, name)
+	refusal, ok := s.refusals[name]
+	if !ok || now >= refusal.validUntil {
+		delete(s.refusals, name)
 		return 0, false
 	}
-	return d.wait + time.Duration(rand.Float64()*float64(d.wait)), true
+	return refusal.wait + time.Duration(rand.Float64()*float64(refusal.wait)), true
 }
 
-func (s *Service) skipped(vm string) bool {
+// isSkipped reports whether a holder is skipped after a failed call.
+func (s *Service) isSkipped(vm string) bool {
 	now := s.deps.Boot.SinceBoot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	until, ok := s.skip[vm]
+	until, ok := s.skipUntil[vm]
 	if ok && now >= until {
-		delete(s.skip, vm)
+		delete(s.skipUntil, vm)
 		return false
 	}
 	return ok
 }
 
-// handleTake answers a VM that asks for a token.
+// handleTake handles another VM's request for a token.
 func (s *Service) handleTake(ctx context.Context, _ string, payload []byte) (any, error) {
 	var r takeRequest
 	if err := peer.Decode(payload, &r); err != nil {
@@ -229,8 +234,8 @@
 	}
 	c := s.deps.Customers().ByName(r.Customer)
 	if c == nil {
-		return &takeAnswer{}, nil
+		return &takeResponse{}, nil
 	}
-	result, wait := s.takeHere(ctx, c)
-	return &takeAnswer{Result: result, WaitMS: uint32(wait.Milliseconds())}, nil
+	result, wait := s.takeLocal(ctx, c)
+	return &takeResponse{Result: result, WaitMS: uint32(wait.Milliseconds())}, nil
 }
--- a/internal/ratelimit/tolerance.go
+++ b/internal/ratelimit/tolerance.go
@@ -1,4 +1,4 @@
-// Package ratelimit enforces customers' rate limits over all VMs.
+// Package ratelimit enforces customers' rate limits across all VMs.
 package ratelimit
 
 import (
@@ -7,40 +7,45 @@
 	"masticturn/internal/customer"
 )
 
-// Tolerance is how far limits may be exceeded: in any window, the requests of a customer stay within
-// (rate × Window + burst) × (1 + Overage) + Slack.
+// Tolerance defines how far limits may be exceeded. In any period of length Window, the number of a
+// customer's requests stays within (rate × Window + burst) × (1 + Overage) + Slack.
 type Tolerance struct {
 	Window  time.Duration
-	Overage float64 // share of the limit
+	Overage float64 // fraction of the limit
 	Slack   float64 // requests
 }
 
-// Bound returns the most requests of a customer that may run in a window.
+// Bound returns the maximum number of a customer's requests that may run in a window.
 func (t Tolerance) Bound(l customer.Limit) float64 {
 	return (l.PerSecond*t.Window.Seconds()+l.Burst)*(1+t.Overage) + t.Slack
 }
 
-// Parts of the tolerance that a budget uses. What is left of the overage covers clock drift.
+// Fractions of the tolerance that a budget uses. The rest of the overage allows for clock drift.
 const (
-	rateOverageShare = 0.5  // of the rate's overage: for the rate
-	burstShare       = 0.75 // of the burst's overage and the slack: for bursts
-	fillShare        = 0.25 // of the same: for the tokens that new buckets start with
+	// rateOverageFraction is the fraction of the rate's overage that is added to the rate.
+	rateOverageFraction = 0.5
+	// burstSlackFraction is the fraction of the burst's overage and the slack that is added to the
+	// burst.
+	burstSlackFraction = 0.75
+	// fillSlackFraction is the fraction of the same for the tokens that new buckets start with.
+	fillSlackFraction = 0.25
 )
 
-// fullShare of the rate's overage is for buckets that start full a little after the first one.
-const fullShare = 0.4
+// fullStartFraction is the fraction of the rate's overage that is used for buckets which start full
+// shortly after the first one.
+const fullStartFraction = 0.4
 
-// fullFor returns how long after the first bucket of an idle budget others may start full. Meanwhile
-// the first ones refill.
-func (t Tolerance) fullFor() time.Duration {
-	return time.Duration(fullShare * t.Overage * float64(t.Window))
+// fullStartPeriod returns how long after the first bucket of an idle budget other buckets may start
+// full. It is limited because the first buckets refill in the meantime.
+func (t Tolerance) fullStartPeriod() time.Duration {
+	return time.Duration(fullStartFraction * t.Overage * float64(t.Window))
 }
 
-// Budget is what all VMs together may use of a limit. In any window they use at most
+// Budget is what all VMs together may use under a limit. In any window they run at most
 // Rate × Window + Burst + Fill requests, which is less than Tolerance.Bound.
 type Budget struct {
 	Rate  float64 // requests/s
-	Burst float64 // tokens that may be saved up
+	Burst float64 // capacity of all buckets, in tokens
 	Fill  float64 // tokens that new buckets may start with, per window
 }
 
@@ -48,8 +53,8 @@
 func (t Tolerance) Budget(l customer.Limit) Budget {
 	slack := t.Overage*l.Burst + t.Slack
 	return Budget{
-		Rate:  l.PerSecond * (1 + rateOverageShare*t.Overage),
-		Burst: max(l.Burst+burstShare*slack, 1), // without a token to save up nothing could run
-		Fill:  fillShare * slack,
+		Rate:  l.PerSecond * (1 + rateOverageFraction*t.Overage),
+		Burst: max(l.Burst+burstSlackFraction*slack, 1), // with less than one token, no request could run
+		Fill:  fillSlackFraction * slack,
 	}
 }
