--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks candidates for a key by rendezvous hashing: every
-// daemon with the same candidates computes the same ranking, and the loss of
-// one candidate moves only what was on it.
+// Package rendezvous ranks candidates for a key by rendezvous (highest random
+// weight) hashing. Daemons with the same candidates compute the same ranking,
+// and removing a candidate remaps only the keys that were assigned to it.
 package rendezvous
 
 import (
@@ -11,7 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score returns the score of a candidate for a key. The highest score wins.
+// Score returns the score of a candidate for a key. The candidate with the
+// highest score ranks first.
 func Score(key, candidate string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -21,7 +22,8 @@
 	return mix(d.Sum64())
 }
 
-// mix is the finalizer of splitmix64; it spreads short keys over all bits.
+// mix is the finalizer of splitmix64. It distributes the hashes of short keys
+// over all bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -30,24 +32,26 @@
 	return x ^ x>>31
 }
 
-// WeightedScore returns a score by which a candidate of twice the weight wins
-// twice as often. A weight of zero or less never wins over a positive one.
+// WeightedScore returns a score with which a candidate ranks first for a share
+// of the keys in proportion to its weight. A candidate with a weight of zero or
+// less never ranks before one with a positive weight.
 func WeightedScore(key, candidate string, weight float64) float64 {
 	if weight <= 0 {
 		return math.Inf(-1)
 	}
 	const bits53 = 1 << 53
-	unit := (float64(Score(key, candidate)>>11) + 0.5) / bits53
-	return -weight / math.Log(unit)
+	uniform := (float64(Score(key, candidate)>>11) + 0.5) / bits53
+	return -weight / math.Log(uniform)
 }
 
-// TopWeighted is Top for candidates with weights.
+// TopWeighted is like Top, but ranks candidates by WeightedScore.
 func TopWeighted[T any](key string, candidates []T, n int, name func(T) string, weight func(T) float64) []T {
 	return top(candidates, n, name, func(c T) float64 { return WeightedScore(key, name(c), weight(c)) })
 }
 
-// Top returns the n best candidates for a key, best first. name returns the
-// stable name of a candidate; candidates is not changed.
+// Top returns the n highest-ranked candidates for a key in rank order, or all
+// of them if there are fewer. name returns the stable name of a candidate.
+// candidates is not modified.
 func Top[T any](key string, candidates []T, n int, name func(T) string) []T {
 	return top(candidates, n, name, func(c T) uint64 { return Score(key, name(c)) })
 }
