--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for some time or until a context is done.
+// Package wait provides sleeping and periodic calls that end with a context.
 package wait
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for d. It reports false when the context was done first, or is
-// done already.
+// For waits for d or until the context is done. It reports whether d elapsed;
+// false if the context is done first, also if it is done at the call.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -22,7 +22,8 @@
 	}
 }
 
-// Every calls f once in each period until the context is done.
+// Every calls f once per period until the context is done. The first call is
+// one period after the start.
 func Every(ctx context.Context, period time.Duration, f func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -13,13 +13,13 @@
 		defer cancel()
 		start := time.Now()
 		if !For(ctx, 2*time.Second) || time.Since(start) != 2*time.Second {
-			t.Errorf("waited %v", time.Since(start))
+			t.Errorf("For(2s) ended after %v, want true after 2s", time.Since(start))
 		}
 		if For(ctx, 2*time.Second) || time.Since(start) != 3*time.Second {
-			t.Errorf("did not end with the context: %v", time.Since(start))
+			t.Errorf("For ended %v after the start, want false when the context expires after 3s", time.Since(start))
 		}
 		if For(ctx, 0) {
-			t.Error("the context was done already")
+			t.Error("For(0) = true with a context that is done")
 		}
 	})
 }
@@ -31,7 +31,7 @@
 		calls := 0
 		Every(ctx, time.Second, func() { calls++ })
 		if calls != 3 {
-			t.Errorf("%d calls", calls)
+			t.Errorf("f was called %d times in 3.5s, want 3", calls)
 		}
 	})
 }
