--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome defines the outcome of a request for its caller: answered, not
-// run, or unknown, with the step and the peer of an error.
+// Package outcome defines the outcomes of a request that a caller is told
+// (answered, not run or unknown) and the errors that carry them.
 package outcome
 
 import (
@@ -8,15 +8,17 @@
 	"time"
 )
 
-// Outcome is what became of a request.
+// Outcome states whether a request was run, as far as this is known.
 type Outcome uint8
 
-// The outcomes. NotRun is said only when no byte of the request reached a
-// target, or when the target itself said by protocol that it did not run it.
-// Everything else that is not a whole answer is Unknown.
+// The outcomes.
 const (
+	// Unknown is the outcome of all requests that are neither Answered nor NotRun.
 	Unknown Outcome = iota
+	// Answered means that the answer was complete.
 	Answered
+	// NotRun means that no byte of the request reached a target, or that the
+	// target stated by protocol that it did not run the request.
 	NotRun
 )
 
@@ -32,37 +34,37 @@
 	}
 }
 
-// Step is a step of the request path at which an error can arise.
+// Step is a step of the request path, recorded with an error that occurs there.
 type Step string
 
 // The steps of the request path, in order.
 const (
-	StepParse    Step = "parse"    // the caller's request is read and checked
-	StepRoute    Step = "route"    // service and route are found
-	StepIdentify Step = "identify" // the customer is found by its key
-	StepLimit    Step = "limit"    // the customer's rate limit is checked
-	StepScreen   Step = "screen"   // requests that crash targets are held back
-	StepClaim    Step = "claim"    // the idempotency key is claimed
+	StepParse    Step = "parse"    // reading and validating the caller's request
+	StepRoute    Step = "route"    // looking up the service and the route
+	StepIdentify Step = "identify" // looking up the customer by its API key
+	StepLimit    Step = "limit"    // checking the customer's rate limit
+	StepScreen   Step = "screen"   // holding back requests that crash targets
+	StepClaim    Step = "claim"    // claiming the idempotency key
 	StepAdmit    Step = "admit"    // waiting for a slot at a target
-	StepConnect  Step = "connect"  // a connection to the target is opened or proven
-	StepSend     Step = "send"     // request head and body go to the target
-	StepWait     Step = "wait"     // waiting for the answer's first byte
-	StepReceive  Step = "receive"  // the answer's body comes from the target
-	StepRelay    Step = "relay"    // the answer goes to the caller
-	StepRecord   Step = "record"   // the answer is kept under its key
-	StepComplete Step = "complete" // nothing is left to do
+	StepConnect  Step = "connect"  // opening a connection to the target, or verifying an open one
+	StepSend     Step = "send"     // sending the request's head and body to the target
+	StepWait     Step = "wait"     // waiting for the first byte of the answer
+	StepReceive  Step = "receive"  // receiving the answer's body from the target
+	StepRelay    Step = "relay"    // sending the answer to the caller
+	StepRecord   Step = "record"   // storing the answer under its idempotency key
+	StepComplete Step = "complete" // the request is complete
 )
 
-// Error is an error of the request path. It carries the step and the peer at
-// which it arose and what may be told to the caller.
+// Error is an error of the request path. It records the step and the peer at
+// which it occurred, and what the caller is told.
 type Error struct {
 	Outcome    Outcome
 	Step       Step
-	Peer       string        // name of the VM or target, empty for this VM
-	Reason     string        // for people; never parsed
-	RetryAfter time.Duration // zero: no advice
+	Peer       string        // name of the VM or target; empty: this VM
+	Reason     string        // human-readable, not to be parsed
+	RetryAfter time.Duration // zero: none is sent
 	Status     int           // HTTP status for the caller; zero: derived from the outcome
-	Err        error         // cause, may be nil
+	Err        error         // cause; may be nil
 }
 
 // Error implements error.
@@ -80,10 +82,11 @@
 	return msg
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, for errors.Is and errors.As.
 func (e *Error) Unwrap() error { return e.Err }
 
-// From returns the *Error in err's chain, or wraps err as Unknown at step.
+// From returns the first *Error in err's chain. If there is none, it wraps err
+// with the outcome Unknown and the given step.
 func From(err error, step Step) *Error {
 	var e *Error
 	if errors.As(err, &e) {
