--- a/internal/placement/admitter.go
+++ b/internal/placement/admitter.go
@@ -23,37 +23,38 @@
 // ServiceName is the name under which the service is registered.
 const ServiceName = "placement"
 
-// retryInterval is the interval at which waiting requests are tried without an event,
-// since load reports age by themselves.
-const retryInterval = 10 * time.Millisecond
+// serveInterval is the interval at which the queue is served while no event triggers it.
+// Targets can become available without one, as load reports and backoffs expire.
+const serveInterval = 10 * time.Millisecond
 
-// Views provides the catalog of targets.
-type Views interface {
+// ViewSource provides the current view of targets and its changes.
+type ViewSource interface {
 	View() *discovery.View
 	SubscribeView(f func(*discovery.View)) (cancel func())
 }
 
-// Deps is what an Admitter needs.
+// Deps holds the dependencies of an Admitter.
 type Deps struct {
-	Views   Views
+	Views   ViewSource
 	Members membership.Source
 	Network peer.Network
-	Settled func() bool // whether this VM knows the other VMs
+	Settled func() bool // reports whether the member list is complete
 	VM      settings.VM
 	Bounds  settings.Bounds
-	Policy  Policy // how targets are chosen
+	Policy  Policy // empty: PolicyCompletion
 	Clock   kernel.Clock
 	Logger  *telemetry.Logger
 	Metrics *metrics.Set
 }
 
-// Admitter grants slots at targets. Each VM decides for itself.
+// Admitter grants slots at targets. Each VM decides on its own requests, without asking
+// others.
 type Admitter struct {
 	deps           Deps
-	cancel         []func()
+	cancelFuncs    []func()
 	reporting      sync.WaitGroup
-	metrics        meter
-	reportReceived chan struct{} // signals a child's load report
+	metrics        decisionMetrics
+	reportReceived chan struct{} // signals that a child's load report is to be forwarded
 
 	mu         sync.Mutex
 	pools      map[string]*servicePool
@@ -64,9 +65,9 @@
 // servicePool is the pool of one service with its waiting requests.
 type servicePool struct {
 	*Pool
-	name    string
-	waiters map[*Waiting]chan struct{} // closed when the request is decided
-	ticking bool
+	name           string
+	waiters        map[*Waiting]chan struct{} // closed when the request is placed or refused
+	serveScheduled bool
 }
 
 var (
@@ -75,11 +76,11 @@
 	_ kernel.Service     = (*Admitter)(nil)
 )
 
-// NewAdmitter returns an admitter; it follows the views once started.
+// NewAdmitter returns an Admitter. It has no targets until it is started.
 func NewAdmitter(d Deps) *Admitter {
 	a := &Admitter{
 		deps:           d,
-		metrics:        newMeter(d.Metrics),
+		metrics:        newDecisionMetrics(d.Metrics),
 		reportReceived: make(chan struct{}, 1),
 		pools:          make(map[string]*servicePool),
 		aggregator:     NewAggregator(),
@@ -95,32 +96,32 @@
 // Start implements kernel.Service.
 func (a *Admitter) Start(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
-	a.cancel = append(a.cancel, cancel)
+	a.cancelFuncs = append(a.cancelFuncs, cancel)
 	a.reporting.Go(func() { a.reportLoop(ctx) })
-	a.cancel = append(a.cancel,
-		a.deps.Views.SubscribeView(a.adopt),
-		a.deps.Members.Subscribe(func(*membership.View) { a.setFleet() }))
-	a.setFleet()
+	a.cancelFuncs = append(a.cancelFuncs,
+		a.deps.Views.SubscribeView(a.applyView),
+		a.deps.Members.Subscribe(func(*membership.View) { a.updateFleet() }))
+	a.updateFleet()
 	if v := a.deps.Views.View(); v != nil {
-		a.adopt(v)
+		a.applyView(v)
 	}
 	return nil
 }
 
-// Drain implements kernel.Service. Requests in flight still need slots.
+// Drain implements kernel.Service. It does nothing, as requests in flight still need slots.
 func (a *Admitter) Drain(context.Context) error { return nil }
 
 // Stop implements kernel.Service.
 func (a *Admitter) Stop(context.Context) error {
-	for _, cancel := range a.cancel {
+	for _, cancel := range a.cancelFuncs {
 		cancel()
 	}
 	a.reporting.Wait()
 	return nil
 }
 
-// setFleet passes the member list to the pools.
-func (a *Admitter) setFleet() {
+// updateFleet passes the member list to the pools.
+func (a *Admitter) updateFleet() {
 	f := Fleet{Self: a.deps.VM.Name, ColdFactor: a.deps.Bounds.ColdFactor, ColdSlack: a.deps.Bounds.ColdSlack}
 	if a.deps.Settled() {
 		for _, m := range a.deps.Members.View().Members {
@@ -136,7 +137,8 @@
 	}
 }
 
-func (a *Admitter) adopt(v *discovery.View) {
+// applyView updates the pools from a view of targets.
+func (a *Admitter) applyView(v *discovery.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.deps.Clock.Now()
@@ -156,32 +158,32 @@
 			a.pools[svc.Name] = p
 		}
 		p.SetTargets(svc, v)
-		a.serve(p, now)
+		a.serveQueue(p, now)
 	}
 }
 
-// serve decides on waiting requests; a.mu is held.
-func (a *Admitter) serve(p *servicePool, now time.Time) {
+// serveQueue serves a pool's queue and wakes the requests that were decided. a.mu is held.
+func (a *Admitter) serveQueue(p *servicePool, now time.Time) {
 	for _, w := range p.Serve(now) {
 		if done := p.waiters[w]; done != nil {
 			delete(p.waiters, w)
 			close(done)
 		}
 	}
-	a.tick(p)
+	a.scheduleServe(p)
 }
 
-// tick schedules another serve while requests wait; a.mu is held.
-func (a *Admitter) tick(p *servicePool) {
-	if p.ticking || p.Queued() == 0 {
+// scheduleServe schedules the next serving of the queue if requests wait. a.mu is held.
+func (a *Admitter) scheduleServe(p *servicePool) {
+	if p.serveScheduled || p.Queued() == 0 {
 		return
 	}
-	p.ticking = true
-	time.AfterFunc(retryInterval, func() {
+	p.serveScheduled = true
+	time.AfterFunc(serveInterval, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		p.ticking = false
-		a.serve(p, a.deps.Clock.Now())
+		p.serveScheduled = false
+		a.serveQueue(p, a.deps.Clock.Now())
 	})
 }
 
@@ -201,20 +203,20 @@
 		select {
 		case <-done:
 		case <-ctx.Done():
-			a.leave(p, w)
+			a.cancelWaiting(p, w)
 		}
 	}
 	if w.Refused != nil {
-		return nil, a.refuse(r, req, w.Refused)
+		return nil, a.refusalError(r, req, w.Refused)
 	}
 	waited := a.deps.Clock.Now().Sub(req.Arrived)
-	a.metrics.placed(r, w.Selected, waited)
+	a.metrics.countPlaced(r, w.Selected, waited)
 	a.logPlaced(r, req, w.Selected, waited)
-	return &permit{admitter: a, pool: p, at: w.Selected, index: w.Selected.index}, nil
+	return &permit{admitter: a, pool: p, selection: w.Selected, target: w.Selected.index}, nil
 }
 
-// admit enqueues a request. The channel is closed on the decision; nil if it has been
-// decided.
+// admit enqueues a request and serves the queue. The returned channel is closed when the
+// request is decided; it is nil if that has happened already.
 func (a *Admitter) admit(svc *config.ServiceIndex, req *Request) (*servicePool, *Waiting, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -224,7 +226,7 @@
 	}
 	now := a.deps.Clock.Now()
 	w := p.Enqueue(req, now)
-	a.serve(p, now)
+	a.serveQueue(p, now)
 	if w.decided() {
 		return p, w, nil
 	}
@@ -233,8 +235,8 @@
 	return p, w, done
 }
 
-// leave cancels a waiting request. One that has been placed keeps its slot.
-func (a *Admitter) leave(p *servicePool, w *Waiting) {
+// cancelWaiting cancels a waiting request. A request that has been placed keeps its slot.
+func (a *Admitter) cancelWaiting(p *servicePool, w *Waiting) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if p.Cancel(w) {
@@ -242,50 +244,50 @@
 	}
 }
 
-func (a *Admitter) logPlaced(r *admission.Request, req *Request, at *Selection, waited time.Duration) {
+func (a *Admitter) logPlaced(r *admission.Request, req *Request, sel *Selection, waited time.Duration) {
 	a.deps.Logger.Log(eventPlaced,
 		telemetry.Value("request_id", req.ID),
-		telemetry.Peer(at.index.Name),
+		telemetry.Peer(sel.index.Name),
 		telemetry.Value("service", r.Service.Name),
 		telemetry.Value("object", req.Key),
-		telemetry.Value("rank", at.rank),
-		telemetry.Value("known", at.known),
-		telemetry.Value("region", at.index.Region),
-		telemetry.Value("own", at.own),
-		telemetry.Value("others", at.others),
-		telemetry.Value("slots", at.index.Slots),
-		telemetry.Value("age_ms", at.age.Milliseconds()),
+		telemetry.Value("rank", sel.rank),
+		telemetry.Value("known", sel.known),
+		telemetry.Value("region", sel.index.Region),
+		telemetry.Value("own", sel.ownRequests),
+		telemetry.Value("others", sel.reportedRequests),
+		telemetry.Value("slots", sel.index.Slots),
+		telemetry.Value("age_ms", sel.reportAge.Milliseconds()),
 		telemetry.Value("waited_ms", waited.Milliseconds()))
 }
 
-// refuse returns the error of a request that was not run.
-func (a *Admitter) refuse(r *admission.Request, req *Request, why *Refusal) *outcome.Error {
-	a.metrics.refused(r, why.Reason)
+// refusalError counts and logs a refused request and returns its error.
+func (a *Admitter) refusalError(r *admission.Request, req *Request, refusal *Refusal) *outcome.Error {
+	a.metrics.countRefused(r, refusal.Reason)
 	a.deps.Logger.Log(eventRefused,
 		telemetry.Value("request_id", req.ID),
 		telemetry.Value("service", r.Service.Name),
-		telemetry.Value("reason", why.Reason),
-		telemetry.Value("queued", why.Queued),
-		telemetry.Value("targets", why.Targets),
+		telemetry.Value("reason", refusal.Reason),
+		telemetry.Value("queued", refusal.Queued),
+		telemetry.Value("targets", refusal.Targets),
 		telemetry.Value("object", req.Key),
 		telemetry.Value("waited_ms", a.deps.Clock.Now().Sub(req.Arrived).Milliseconds()),
-		telemetry.Value("retry_after_ms", why.RetryAfter.Milliseconds()))
+		telemetry.Value("retry_after_ms", refusal.RetryAfter.Milliseconds()))
 	return &outcome.Error{
 		Outcome:    outcome.NotRun,
 		Step:       outcome.StepAdmit,
-		Reason:     why.Reason,
-		RetryAfter: why.RetryAfter,
+		Reason:     refusal.Reason,
+		RetryAfter: refusal.RetryAfter,
 		Status:     http.StatusServiceUnavailable,
 	}
 }
 
-// permit holds one slot at a target.
+// permit implements admission.Permit: it holds one slot at a target.
 type permit struct {
-	admitter *Admitter
-	pool     *servicePool
-	at       *Selection
-	index    *config.TargetIndex
-	once     sync.Once
+	admitter  *Admitter
+	pool      *servicePool
+	selection *Selection
+	target    *config.TargetIndex
+	once      sync.Once
 }
 
 var (
@@ -295,26 +297,27 @@
 )
 
 // Target implements admission.Permit.
-func (p *permit) Target() *config.TargetIndex { return p.index }
+func (p *permit) Target() *config.TargetIndex { return p.target }
 
 // Shifted implements admission.Permit.
-func (p *permit) Shifted() bool { return p.index.Region != p.admitter.deps.VM.Region }
+func (p *permit) Shifted() bool { return p.target.Region != p.admitter.deps.VM.Region }
 
-// Valid implements admission.Checked: false after the target stopped accepting requests.
+// Valid implements admission.Checked. It returns false once the target has announced that it
+// accepts no requests.
 func (p *permit) Valid() bool {
 	a := p.admitter
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return p.pool.Accepting(p.index.Name, a.deps.Clock.Now())
+	return p.pool.Accepting(p.target.Name, a.deps.Clock.Now())
 }
 
 // Notify implements admission.NoticeReceiver.
-func (p *permit) Notify(w admission.Notice) {
+func (p *permit) Notify(notice admission.Notice) {
 	a := p.admitter
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if p.pool.RecordNotice(p.index.Name, w, a.deps.Clock.Now()) {
-		a.deps.Logger.Log(eventTargetNotice, telemetry.Peer(p.index.Name), telemetry.Value("for_ms", w.Backoff.Milliseconds()))
+	if p.pool.RecordNotice(p.target.Name, notice, a.deps.Clock.Now()) {
+		a.deps.Logger.Log(eventTargetNotice, telemetry.Peer(p.target.Name), telemetry.Value("for_ms", notice.Backoff.Milliseconds()))
 	}
 }
 
@@ -325,25 +328,25 @@
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		now := a.deps.Clock.Now()
-		if barred := p.pool.Release(p.at, resultOf(&r), now); barred > 0 {
-			a.deps.Logger.Log(eventBarred,
-				telemetry.Peer(p.index.Name),
+		if ejected := p.pool.Release(p.selection, toResult(&r), now); ejected > 0 {
+			a.deps.Logger.Log(eventTargetEjected,
+				telemetry.Peer(p.target.Name),
 				telemetry.Step(string(r.Step)),
-				telemetry.Value("for_ms", barred.Milliseconds()))
+				telemetry.Value("for_ms", ejected.Milliseconds()))
 		}
-		a.serve(p.pool, now)
+		a.serveQueue(p.pool, now)
 	})
 }
 
-func resultOf(r *admission.Result) Result {
+func toResult(r *admission.Result) Result {
 	return Result{
-		Load:    r.Load,
-		Connect: r.Connect,
-		Latency: r.Latency,
-		Failed:  r.Outcome != outcome.Answered || r.Status >= http.StatusInternalServerError,
-		Shed:    r.ShedByPeer && !r.Misdirected,
-		Gone:    r.Misdirected,
-		Ended:   r.NoListener,
-		Left:    r.Canceled,
+		Load:        r.Load,
+		Connect:     r.Connect,
+		Latency:     r.Latency,
+		Failed:      r.Outcome != outcome.Answered || r.Status >= http.StatusInternalServerError,
+		Shed:        r.ShedByPeer && !r.Misdirected,
+		Misdirected: r.Misdirected,
+		Ended:       r.NoListener,
+		Canceled:    r.Canceled,
 	}
 }
--- a/internal/placement/aggregator.go
+++ b/internal/placement/aggregator.go
@@ -7,49 +7,50 @@
 	"masticturn/internal/rendezvous"
 )
 
-// Load reports are aggregated over a tree of the region's VMs, which all VMs derive from
-// the same member list. Each VM sends its own usage and that of its subtree to its parent;
-// the root sends the total down. This costs two messages a VM and interval.
+// Load reports are aggregated over a tree of the region's VMs, which each VM computes from
+// the member list. Each VM sends the usage of its subtree to its parent, and the root sends
+// the total down the tree. This takes two messages per VM and interval.
 const (
 	// ReportInterval is the interval of reports while there is usage.
 	ReportInterval = 125 * time.Millisecond
-	// GatherDelay is how long a VM collects its children's reports before it forwards them.
+	// GatherDelay is how long a VM collects its children's reports before it sends its own.
 	GatherDelay = 40 * time.Millisecond
-	// treeFanout is the number of children. Each gets the total, whose size grows with the
-	// region.
+	// treeFanout is the maximum number of children of a VM. It is small because the VM sends
+	// each of them the total, whose size grows with the region.
 	treeFanout = 2
-	// totalBytesPerSecond bounds what a VM sends to pass the total down; larger totals are
-	// sent less often.
+	// totalBytesPerSecond bounds the rate at which a VM sends totals to its children. Larger
+	// totals are sent less often.
 	totalBytesPerSecond = 12_000
-	// ttlIntervals is the TTL of a report in intervals, so that two may be lost;
-	// maxReportTTL bounds a received one.
-	ttlIntervals = 3
+	// reportTTLIntervals is the TTL of a report in intervals. With 3, two reports in a row
+	// may be lost.
+	reportTTLIntervals = 3
+	// maxReportTTL bounds the TTL of a received report.
 	maxReportTTL = 10 * time.Second
 )
 
-// LoadReport is the usage of all services' targets, by service.
+// LoadReport is the usage of the targets of all services.
 type LoadReport struct {
-	Services map[string]*Usage `msgpack:"s"`
-	TTL      time.Duration     `msgpack:"l"` // how long it is valid
+	Services map[string]*Usage `msgpack:"s"` // by name of the service
+	TTL      time.Duration     `msgpack:"l"` // how long the report is valid
 }
 
-// Empty reports whether there is no usage.
+// Empty reports whether no service has usage.
 func (r *LoadReport) Empty() bool { return len(r.Services) == 0 }
 
-// Approximate sizes on the wire, in bytes.
+// Approximate encoded sizes, in bytes.
 const (
-	reportHeaderBytes = 64 // with framing
-	entryBytes        = 6
-	keyBytes          = 6
+	reportHeaderBytes = 64 // including the frame of the message
+	targetEntryBytes  = 6
+	objectKeyBytes    = 6
 )
 
-// size returns the approximate size on the wire, in bytes.
+// size returns the approximate encoded size, in bytes.
 func (r *LoadReport) size() int {
 	n := reportHeaderBytes
 	for _, u := range r.Services {
-		n += entryBytes * len(u.Running)
+		n += targetEntryBytes * len(u.Running)
 		for _, keys := range u.Objects {
-			n += entryBytes + keyBytes*len(keys)
+			n += targetEntryBytes + objectKeyBytes*len(keys)
 		}
 	}
 	return n
@@ -65,33 +66,33 @@
 	return u
 }
 
-// TreePosition is a VM's place in the aggregation tree.
+// TreePosition is a VM's position in the aggregation tree.
 type TreePosition struct {
 	Parent   string // "" at the root
 	Children []string
 }
 
-// TreePositionOf returns the position of a VM among the VMs of its region, itself
-// included; false if it is not among them.
+// TreePositionOf returns the position of a VM in the tree of the VMs of its region. It
+// returns false if vms does not include the VM.
 func TreePositionOf(self string, vms []string) (TreePosition, bool) {
 	order := rendezvous.Top("what VMs have at targets", vms, len(vms), func(name string) string { return name })
-	at := slices.Index(order, self)
-	if at < 0 {
+	i := slices.Index(order, self)
+	if i < 0 {
 		return TreePosition{}, false
 	}
 	var p TreePosition
-	if at > 0 {
-		p.Parent = order[(at-1)/treeFanout]
+	if i > 0 {
+		p.Parent = order[(i-1)/treeFanout]
 	}
-	first := min(treeFanout*at+1, len(order))
+	first := min(treeFanout*i+1, len(order))
 	p.Children = order[first:min(first+treeFanout, len(order))]
 	return p, true
 }
 
-// childReport is the last report of a child.
+// childReport is the last report received from a child.
 type childReport struct {
-	report *LoadReport
-	at     time.Time
+	report     *LoadReport
+	receivedAt time.Time
 }
 
 // Aggregator merges load reports and decides which ones to send. It does no I/O and is
@@ -99,91 +100,93 @@
 type Aggregator struct {
 	position   TreePosition
 	children   map[string]childReport
-	newObjects map[string]*Usage // of children, not yet forwarded, by service
-	next       time.Time         // when the total is due
-	quiet      bool              // the last report was empty
+	newObjects map[string]*Usage // reported by children and not yet forwarded, by service
+	nextTotal  time.Time         // when the root sends the next total
+	lastEmpty  bool              // the last report was empty
 }
 
-// NewAggregator returns an aggregator without a position, which sends nothing.
+// NewAggregator returns an Aggregator. It sends nothing until it has a position.
 func NewAggregator() *Aggregator {
-	return &Aggregator{children: make(map[string]childReport), newObjects: make(map[string]*Usage), quiet: true}
+	return &Aggregator{children: make(map[string]childReport), newObjects: make(map[string]*Usage), lastEmpty: true}
 }
 
-// SetPosition sets the VM's position.
-func (t *Aggregator) SetPosition(p TreePosition) { t.position = p }
+// SetPosition sets the VM's position in the tree.
+func (a *Aggregator) SetPosition(p TreePosition) { a.position = p }
 
-// Receive stores a child's report. It reports whether to forward it after GatherDelay.
-// Reports of VMs that are no children by this VM's view are dropped, so that no cycle
-// counts usage twice.
-func (t *Aggregator) Receive(from string, r *LoadReport, now time.Time) bool {
-	if !slices.Contains(t.position.Children, from) {
+// Receive stores a child's report and reports whether to forward it after GatherDelay.
+// Reports from VMs that are not children of this one by its own member list are dropped, so
+// that usage is not counted twice when differing member lists form a cycle.
+func (a *Aggregator) Receive(from string, r *LoadReport, now time.Time) bool {
+	if !slices.Contains(a.position.Children, from) {
 		return false
 	}
-	t.children[from] = childReport{r, now}
+	a.children[from] = childReport{r, now}
 	for service, u := range r.Services {
 		if u == nil {
 			delete(r.Services, service)
 			continue
 		}
-		if t.newObjects[service] == nil {
-			t.newObjects[service] = newUsage()
+		if a.newObjects[service] == nil {
+			a.newObjects[service] = newUsage()
 		}
-		t.newObjects[service].addObjects(u)
+		a.newObjects[service].addObjects(u)
 	}
-	return t.position.Parent != ""
+	return a.position.Parent != ""
 }
 
-// Outgoing is a report to send.
-type Outgoing struct {
+// OutgoingReport is a report to send.
+type OutgoingReport struct {
 	Report *LoadReport
 	To     []string // empty: nothing is sent
-	Total  bool     // the report is the region's total, which applies to the sender too
+	Total  bool     // the report is the region's total, which the sender applies too
 }
 
-// Next returns the next report, towards the parent or, at the root, the total for the
-// children. Own is called only if a report is due.
-func (t *Aggregator) Next(own func() *LoadReport, now time.Time) Outgoing {
-	top := t.position.Parent == ""
-	if top && (len(t.position.Children) == 0 || now.Before(t.next)) {
-		return Outgoing{}
+// Next returns the next report: this VM's and its subtree's usage for the parent or, at the
+// root, the total for the children. own returns this VM's usage and is called only if a
+// report is due.
+func (a *Aggregator) Next(own func() *LoadReport, now time.Time) OutgoingReport {
+	isRoot := a.position.Parent == ""
+	if isRoot && (len(a.position.Children) == 0 || now.Before(a.nextTotal)) {
+		return OutgoingReport{}
 	}
-	r := t.merge(own(), now)
-	if r.Empty() && t.quiet {
-		return Outgoing{}
+	r := a.merge(own(), now)
+	if r.Empty() && a.lastEmpty {
+		return OutgoingReport{}
 	}
-	t.quiet = r.Empty()
+	a.lastEmpty = r.Empty()
 	period := ReportInterval
-	if top {
-		period = max(period, time.Duration(r.size()*len(t.position.Children))*time.Second/totalBytesPerSecond)
-		t.next = now.Add(period)
+	if isRoot {
+		period = max(period, time.Duration(r.size()*len(a.position.Children))*time.Second/totalBytesPerSecond)
+		a.nextTotal = now.Add(period)
 	}
-	r.TTL = ttlIntervals * period
-	if top {
-		return Outgoing{r, t.position.Children, true}
+	r.TTL = reportTTLIntervals * period
+	if isRoot {
+		return OutgoingReport{r, a.position.Children, true}
 	}
-	return Outgoing{r, []string{t.position.Parent}, false}
+	return OutgoingReport{r, []string{a.position.Parent}, false}
 }
 
-// ChildrenBelow returns the children to which a total is forwarded; false if the sender
-// is not the parent.
-func (t *Aggregator) ChildrenBelow(from string) ([]string, bool) {
-	return t.position.Children, from != "" && from == t.position.Parent
+// ChildrenBelow returns the children to which a total received from a VM is forwarded; false
+// if that VM is not the parent.
+func (a *Aggregator) ChildrenBelow(from string) ([]string, bool) {
+	return a.position.Children, from != "" && from == a.position.Parent
 }
 
-// merge adds the children's reports to the own one.
-func (t *Aggregator) merge(r *LoadReport, now time.Time) *LoadReport {
-	for vm, h := range t.children {
-		if now.Sub(h.at) > min(h.report.TTL, maxReportTTL) || !slices.Contains(t.position.Children, vm) {
-			delete(t.children, vm)
+// merge adds the children's reports to this VM's report. Reports that have expired, or come
+// from VMs that are no longer children, are dropped.
+func (a *Aggregator) merge(r *LoadReport, now time.Time) *LoadReport {
+	for vm, child := range a.children {
+		if now.Sub(child.receivedAt) > min(child.report.TTL, maxReportTTL) || !slices.Contains(a.position.Children, vm) {
+			delete(a.children, vm)
 			continue
 		}
-		for service, u := range h.report.Services {
+		for service, u := range child.report.Services {
 			r.usage(service).addRunning(u)
 		}
 	}
-	for service, u := range t.newObjects {
+	for service, u := range a.newObjects {
 		r.usage(service).addObjects(u)
 	}
-	clear(t.newObjects)
+	clear(a.newObjects)
 	return r
 }
--- a/internal/placement/aggregator_test.go
+++ b/internal/placement/aggregator_test.go
@@ -16,43 +16,43 @@
 	return names
 }
 
-// The positions of all VMs make one tree.
-func TestPositionsMakeATree(t *testing.T) {
+// The positions that all VMs compute form one tree of limited depth.
+func TestTreePositionsFormOneTree(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 28, 65, 155} {
 		names := vmNames(size)
-		tops := 0
+		roots := 0
 		for _, name := range names {
 			p, ok := TreePositionOf(name, names)
 			if !ok {
 				t.Fatalf("%d VMs: %s has no position", size, name)
 			}
 			if p.Parent == "" {
-				tops++
+				roots++
 			}
-			for _, below := range p.Children {
-				if q, _ := TreePositionOf(below, names); q.Parent != name {
-					t.Errorf("%d VMs: %s is below %s, which is below %q by its own view", size, below, name, q.Parent)
+			for _, child := range p.Children {
+				if childPosition, _ := TreePositionOf(child, names); childPosition.Parent != name {
+					t.Errorf("%d VMs: %s is a child of %s, but computes %q as its parent", size, child, name, childPosition.Parent)
 				}
 			}
-			steps := 0
-			for at := p; at.Parent != ""; steps++ {
-				at, _ = TreePositionOf(at.Parent, names)
+			depth := 0
+			for ancestor := p; ancestor.Parent != ""; depth++ {
+				ancestor, _ = TreePositionOf(ancestor.Parent, names)
 			}
-			if steps > 7 {
-				t.Errorf("%d VMs: %d steps from %s to the top", size, steps, name)
+			if depth > 7 {
+				t.Errorf("%d VMs: depth %d of %s, want 7 at most", size, depth, name)
 			}
 		}
-		if tops != 1 {
-			t.Errorf("%d VMs: %d are at the top", size, tops)
+		if roots != 1 {
+			t.Errorf("%d VMs: %d roots, want 1", size, roots)
 		}
 	}
 	if _, ok := TreePositionOf("gone", vmNames(3)); ok {
-		t.Error("a VM that is not there has a position")
+		t.Error("a VM that is not in the list has a position")
 	}
 }
 
-// reportOf is the load report of a VM with requests at target 1.
-func reportOf(running int, objects ...string) *LoadReport {
+// testReport returns the load report of a VM with requests at target 1.
+func testReport(running int, objects ...string) *LoadReport {
 	u := newUsage()
 	u.Running[1] = running
 	if len(objects) > 0 {
@@ -62,53 +62,53 @@
 }
 
 func TestAggregatorMergesChildren(t *testing.T) {
-	own := func() *LoadReport { return reportOf(1, "a") }
+	own := func() *LoadReport { return testReport(1, "a") }
 	aggregator := NewAggregator()
 	aggregator.SetPosition(TreePosition{Parent: "top", Children: []string{"x", "y"}})
-	if !aggregator.Receive("x", reportOf(2, "b"), start) || !aggregator.Receive("y", reportOf(3), start) {
-		t.Error("words of VMs below are not told on")
+	if !aggregator.Receive("x", testReport(2, "b"), start) || !aggregator.Receive("y", testReport(3), start) {
+		t.Error("reports of children are not forwarded")
 	}
-	if aggregator.Receive("stranger", reportOf(50), start) {
-		t.Error("a VM that is not below is listened to")
+	if aggregator.Receive("stranger", testReport(50), start) {
+		t.Error("the report of a VM that is not a child is accepted")
 	}
-	turn := aggregator.Next(own, start)
-	u := turn.Report.Services["svc"]
-	if len(turn.To) != 1 || turn.To[0] != "top" || turn.Total || u.Running[1] != 6 || len(u.Objects[1]) != 2 {
-		t.Errorf("told %+v, %+v", turn, u)
+	out := aggregator.Next(own, start)
+	u := out.Report.Services["svc"]
+	if len(out.To) != 1 || out.To[0] != "top" || out.Total || u.Running[1] != 6 || len(u.Objects[1]) != 2 {
+		t.Errorf("got %+v with usage %+v, want the merged report for the parent", out, u)
 	}
-	turn = aggregator.Next(own, start.Add(time.Second+1))
-	if u := turn.Report.Services["svc"]; u.Running[1] != 1 || len(u.Objects[1]) != 1 {
-		t.Errorf("words that are too old are told: %+v", u)
+	out = aggregator.Next(own, start.Add(time.Second+1))
+	if u := out.Report.Services["svc"]; u.Running[1] != 1 || len(u.Objects[1]) != 1 {
+		t.Errorf("expired reports are forwarded: %+v", u)
 	}
 }
 
-// The root sends the total, less often the larger it is, and an empty one once.
+// The root sends larger totals less often, and an empty total only once.
 func TestRootSendsTotal(t *testing.T) {
 	aggregator := NewAggregator()
 	aggregator.SetPosition(TreePosition{Children: []string{"x", "y"}})
-	large := reportOf(1)
+	large := testReport(1)
 	for id := range uint32(1000) {
 		large.Services["svc"].Running[id] = 1
 	}
 	aggregator.Receive("x", large, start)
-	turn := aggregator.Next(func() *LoadReport { return reportOf(1) }, start)
-	if !turn.Total || len(turn.To) != 2 || turn.Report.Services["svc"].Running[1] != 2 {
-		t.Errorf("told %+v", turn)
+	out := aggregator.Next(func() *LoadReport { return testReport(1) }, start)
+	if !out.Total || len(out.To) != 2 || out.Report.Services["svc"].Running[1] != 2 {
+		t.Errorf("got %+v, want the total for both children", out)
 	}
-	period := turn.Report.TTL / ttlIntervals
-	if sent := float64(turn.Report.size()*len(turn.To)) / period.Seconds(); sent > 1.01*totalBytesPerSecond {
-		t.Errorf("%.0f bytes a second, want %d at most", sent, totalBytesPerSecond)
+	period := out.Report.TTL / reportTTLIntervals
+	if sent := float64(out.Report.size()*len(out.To)) / period.Seconds(); sent > 1.01*totalBytesPerSecond {
+		t.Errorf("%.0f bytes/s, want %d at most", sent, totalBytesPerSecond)
 	}
 	none := func() *LoadReport { return &LoadReport{Services: make(map[string]*Usage)} }
-	if turn := aggregator.Next(none, start.Add(period-1)); turn.To != nil {
-		t.Error("the sum is told too early")
+	if out := aggregator.Next(none, start.Add(period-1)); out.To != nil {
+		t.Error("a total is sent before it is due")
 	}
 	now := start.Add(time.Minute)
-	if turn := aggregator.Next(none, now); len(turn.To) != 2 || !turn.Report.Empty() {
-		t.Errorf("that nothing is left is not told: %+v", turn)
+	if out := aggregator.Next(none, now); len(out.To) != 2 || !out.Report.Empty() {
+		t.Errorf("the empty total is not sent: %+v", out)
 	}
-	if turn := aggregator.Next(none, now.Add(time.Minute)); turn.To != nil {
-		t.Errorf("nothing is told again: %+v", turn)
+	if out := aggregator.Next(none, now.Add(time.Minute)); out.To != nil {
+		t.Errorf("the empty total is sent again: %+v", out)
 	}
 }
 
@@ -116,7 +116,7 @@
 func TestTotalReachesLargeRegion(t *testing.T) {
 	for _, size := range []int{3, 28, 65, 155} {
 		synctest.Test(t, func(t *testing.T) {
-			_, svc, vms := regionOfVMs(t, size)
+			_, svc, vms := startVMs(t, size)
 			time.Sleep(time.Second)
 			for _, a := range vms {
 				if a.deps.VM.Region == "ros" {
@@ -130,24 +130,24 @@
 					continue
 				}
 				if got, want := receivedUsage(a), size-1; got < want {
-					t.Errorf("%d VMs: %s was told of %d requests, want %d", size, name, got, want)
+					t.Errorf("%d VMs: %s received a usage of %d requests, want %d", size, name, got, want)
 				}
-				if got := knownTo(a); got != size {
-					t.Errorf("%d VMs: %s knows of %d objects at targets, want %d", size, name, got, size)
+				if got := knownObjects(a); got != size {
+					t.Errorf("%d VMs: %s has recorded %d objects at targets, want %d", size, name, got, size)
 				}
 			}
 		})
 	}
 }
 
-// knownTo counts the objects that a VM records at targets.
-func knownTo(a *Admitter) int {
+// knownObjects counts the objects that a VM has recorded at targets.
+func knownObjects(a *Admitter) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
 	for _, p := range a.pools {
-		for _, target := range p.order {
-			n += len(target.objects.last)
+		for _, target := range p.sortedTargets {
+			n += len(target.objects.lastSent)
 		}
 	}
 	return n
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// BenchmarkChoose picks targets for 300 objects among 276 targets, with rankings cached.
+// BenchmarkChoose measures the choice of targets for 300 objects among 276 targets, with cached
+// rankings.
 func BenchmarkChoose(b *testing.B) {
-	view, svc := site{perRegion: map[string]int{"ros": 92, "bb": 92, "bsas": 92}, slots: 3}.view(b)
+	view, svc := targetLayout{perRegion: map[string]int{"ros": 92, "bb": 92, "bsas": 92}, slots: 3}.view(b)
 	p := NewPool(testOptions("ros"))
 	p.SetTargets(svc, view)
-	asks := make([]*Request, 300)
-	for i := range asks {
-		asks[i] = ask(fmt.Sprintf("object-%d", i))
+	requests := make([]*Request, 300)
+	for i := range requests {
+		requests[i] = newRequest(fmt.Sprintf("object-%d", i))
 	}
 	now := start
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		at := p.Choose(asks[i%len(asks)], now)
-		p.Acquire(at, now)
-		p.Release(at, Result{Latency: 100 * time.Millisecond}, now)
+		sel := p.Choose(requests[i%len(requests)], now)
+		p.Acquire(sel, now)
+		p.Release(sel, Result{Latency: 100 * time.Millisecond}, now)
 		i++
 	}
 }
 
-// BenchmarkRank ranks 276 targets for an object.
+// BenchmarkRank measures the ranking of 276 targets for an object.
 func BenchmarkRank(b *testing.B) {
-	view, svc := site{perRegion: map[string]int{"ros": 92, "bb": 92, "bsas": 92}, slots: 3}.view(b)
+	view, svc := targetLayout{perRegion: map[string]int{"ros": 92, "bb": 92, "bsas": 92}, slots: 3}.view(b)
 	p := NewPool(testOptions("ros"))
 	p.SetTargets(svc, view)
 	for b.Loop() {
--- a/internal/placement/cold.go
+++ b/internal/placement/cold.go
@@ -6,55 +6,59 @@
 	"masticturn/internal/rendezvous"
 )
 
-// Fleet lists the VMs that share the limit of a cold target. They keep it without
-// messages: each VM sends a cold target one request per coldGap, and only as many VMs
-// send as the limit allows.
+// Fleet lists the VMs that share the rate limit of cold targets. They keep to it without
+// exchanging messages: each VM sends a cold target at most one request per coldInterval, and
+// only as many VMs send requests as the limit allows.
 type Fleet struct {
 	Self string
-	VMs  []VM // that may send, this one included; empty: unknown
-	// The limit within one second is ColdFactor times the service's rate plus ColdSlack.
+	VMs  []VM // VMs that may send requests, including this one; empty: not known
+	// A cold target gets at most ColdFactor times the service's cold rate plus ColdSlack
+	// requests within any second.
 	ColdFactor float64
 	ColdSlack  float64
 }
 
-// VM is one VM of the fleet.
+// VM is a member of the fleet.
 type VM struct{ Name, Region string }
 
 const (
-	// coldGap is the time between two requests of a VM to a cold target: the second of
-	// the limit with some jitter.
-	coldGap = 1100 * time.Millisecond
-	// coldReserve is left for VMs with another member list, as after a partition.
-	coldReserve = 3
+	// coldInterval is the minimum time between two requests of a VM to a cold target: the
+	// second over which the limit counts, and a margin for jitter.
+	coldInterval = 1100 * time.Millisecond
+	// reservedColdSenders is the part of the limit reserved for VMs whose member lists
+	// differ, as after a partition.
+	reservedColdSenders = 3
 )
 
-// mayUseCold reports whether the target is warm or may take one more request of this
-// VM.
-func (p *Pool) mayUseCold(t *targetState, now time.Time) bool {
+// coldLimitAllows reports whether a target is warm, or cold and may get one more request of
+// this VM.
+func (p *Pool) coldLimitAllows(t *targetState, now time.Time) bool {
 	if !t.cold(now) || p.coldRate == 0 {
 		return true
 	}
-	return now.Sub(t.coldSent) >= coldGap && p.sendsToCold(t)
+	return now.Sub(t.lastColdRequest) >= coldInterval && p.sendsToCold(t)
 }
 
-// sendsToCold reports whether this VM is among the senders of a cold target: as many as
-// its limit allows, those of its region first. It is computed once per fleetVersion.
+// sendsToCold reports whether this VM may send requests to a cold target. As many VMs may as
+// the target's limit allows, those of its region first. The result is cached per
+// fleetVersion.
 func (p *Pool) sendsToCold(t *targetState) bool {
-	if t.coldFleet != p.fleetVersion {
-		t.coldFleet = p.fleetVersion
+	if t.coldSenderVersion != p.fleetVersion {
+		t.coldSenderVersion = p.fleetVersion
 		t.coldSender = p.isColdSender(t)
 	}
 	return t.coldSender
 }
 
+// isColdSender computes the result of sendsToCold.
 func (p *Pool) isColdSender(t *targetState) bool {
-	bound := p.coldRate*p.fleet.ColdFactor + p.fleet.ColdSlack
-	senders := int(bound) - coldReserve
-	own := coldRank{local: p.region == t.Region, score: rendezvous.Score(t.Name, p.fleet.Self)}
+	limit := p.coldRate*p.fleet.ColdFactor + p.fleet.ColdSlack
+	senders := int(limit) - reservedColdSenders
+	own := senderRank{local: p.region == t.Region, score: rendezvous.Score(t.Name, p.fleet.Self)}
 	ahead, known := 0, false
 	for _, vm := range p.fleet.VMs {
 		known = known || vm.Name == p.fleet.Self
-		rank := coldRank{local: vm.Region == t.Region, score: rendezvous.Score(t.Name, vm.Name)}
+		rank := senderRank{local: vm.Region == t.Region, score: rendezvous.Score(t.Name, vm.Name)}
 		if rank.before(own) {
 			ahead++
 		}
@@ -62,13 +66,14 @@
 	return known && ahead < senders
 }
 
-// coldRank orders the senders of a cold target.
-type coldRank struct {
-	local bool // in the target's region
+// senderRank orders VMs as senders to a cold target.
+type senderRank struct {
+	local bool // the VM is in the target's region
 	score uint64
 }
 
-func (r coldRank) before(other coldRank) bool {
+// before reports whether r ranks before other.
+func (r senderRank) before(other senderRank) bool {
 	if r.local != other.local {
 		return r.local
 	}
--- a/internal/placement/cold_test.go
+++ b/internal/placement/cold_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// coldFleet is the pools of n VMs with the same cold target.
-func coldFleet(t *testing.T, vms int, perSecond float64, known func(vm, other int) bool) []*Pool {
+// newColdPools returns the pools of several VMs that share a cold target. known reports whether
+// a VM has another one in its member list.
+func newColdPools(t *testing.T, vms int, coldRate float64, known func(vm, other int) bool) []*Pool {
 	t.Helper()
-	s := site{perRegion: map[string]int{"r0": 1}, slots: 1000, cold: perSecond}
+	s := targetLayout{perRegion: map[string]int{"r0": 1}, slots: 1000, coldRate: coldRate}
 	pools := make([]*Pool, vms)
 	for i := range pools {
 		p, v := newTestPool(t, fmt.Sprintf("r%d", i%3), s)
@@ -27,36 +28,37 @@
 	return pools
 }
 
-// The VMs of fleets of all sizes together keep the limit of a cold target in every second.
-func TestColdBoundHoldsOverAllVMs(t *testing.T) {
+// The VMs of a fleet together keep to the limit of a cold target in every second, also when
+// their member lists differ.
+func TestColdLimitHoldsAcrossVMs(t *testing.T) {
 	const perSecond = 7.4
-	bound := perSecond*1.5 + 5
+	limit := perSecond*1.5 + 5
 	for _, vms := range []int{1, 10, 87} {
 		for name, known := range map[string]func(a, b int) bool{
-			"all know each other": func(int, int) bool { return true },
-			"two VMs are cut off": func(a, b int) bool { return a > 1 && b > 1 },
+			"all VMs know each other": func(int, int) bool { return true },
+			"two VMs are partitioned": func(a, b int) bool { return a > 1 && b > 1 },
 		} {
 			t.Run(fmt.Sprintf("%d VMs, %s", vms, name), func(t *testing.T) {
-				pools := coldFleet(t, vms, perSecond, known)
+				pools := newColdPools(t, vms, perSecond, known)
 				var sent []time.Time
 				for tick := range 1000 {
 					now := start.Add(time.Duration(tick) * 5 * time.Millisecond)
 					for _, p := range pools {
-						if at := p.Choose(ask("a"), now); at != nil {
-							p.Acquire(at, now)
+						if sel := p.Choose(newRequest("a"), now); sel != nil {
+							p.Acquire(sel, now)
 							sent = append(sent, now)
 						}
 					}
 				}
-				if most := maxWithin(sent, time.Second); float64(most) > bound || most == 0 {
-					t.Errorf("%d requests in one second, bound %.1f", most, bound)
+				if most := maxWithin(sent, time.Second); float64(most) > limit || most == 0 {
+					t.Errorf("%d requests within one second, want 1 to %.1f", most, limit)
 				}
 			})
 		}
 	}
 }
 
-// maxWithin returns the largest number of times within any span.
+// maxWithin returns the largest number of times that lie within one span.
 func maxWithin(times []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i, at := range times {
@@ -68,37 +70,38 @@
 	return most
 }
 
-// A VM without a member list sends nothing to cold targets.
-func TestUnsettledVMSendsNothingToColdTargets(t *testing.T) {
-	p := coldFleet(t, 1, 7.4, nil)[0]
+// A VM without a member list sends no requests to cold targets, as it does not know how many
+// other VMs share the limit.
+func TestVMWithoutMemberListSkipsColdTargets(t *testing.T) {
+	p := newColdPools(t, 1, 7.4, nil)[0]
 	p.SetFleet(Fleet{Self: "vm-0", ColdFactor: 1.5, ColdSlack: 5})
-	if p.Choose(ask("a"), start) != nil {
-		t.Error("a cold target got a request")
+	if p.Choose(newRequest("a"), start) != nil {
+		t.Error("a VM without a member list chose a cold target")
 	}
 }
 
-func TestTargetsWithoutAColdRateAreNotBounded(t *testing.T) {
-	p := coldFleet(t, 1, 0, nil)[0]
+func TestTargetsWithoutColdRateAreUnlimited(t *testing.T) {
+	p := newColdPools(t, 1, 0, nil)[0]
 	for range 100 {
-		p.Acquire(mustChoose(t, p, ask("a"), start), start)
+		p.Acquire(mustChoose(t, p, newRequest("a"), start), start)
 	}
 }
 
-// While an object's targets are cold, the next ones serve it.
+// While an object's targets are cold, lower-ranked ones serve it.
 func TestObjectsOfColdTargetsAreServedElsewhere(t *testing.T) {
-	p, v := newTestPool(t, "ros", site{perRegion: map[string]int{"ros": 6}, slots: 100, cold: 7.4})
+	p, v := newTestPool(t, "ros", targetLayout{perRegion: map[string]int{"ros": 6}, slots: 100, coldRate: 7.4})
 	p.SetFleet(Fleet{Self: "vm", VMs: []VM{{"vm", "ros"}}, ColdFactor: 1.5, ColdSlack: 5})
-	home := mustChoose(t, p, ask("a"), start).target.Name
+	first := mustChoose(t, p, newRequest("a"), start).target.Name
 	for i := range 4 {
 		v.ColdUntil[fmt.Sprintf("ros-%d", i)] = start.Add(3 * time.Second)
 	}
-	v.ColdUntil[home] = start.Add(3 * time.Second)
+	v.ColdUntil[first] = start.Add(3 * time.Second)
 	p.SetTargets(v.Snapshot.Service("svc"), v)
 	for range 100 {
-		p.Acquire(mustChoose(t, p, ask("a"), start), start)
+		p.Acquire(mustChoose(t, p, newRequest("a"), start), start)
 	}
 	later := start.Add(3 * time.Second)
-	if at := mustChoose(t, p, ask("a"), later); at.target.Name != home {
-		t.Errorf("after the cold time the object is at %s, before at %s", at.target.Name, home)
+	if sel := mustChoose(t, p, newRequest("a"), later); sel.target.Name != first {
+		t.Errorf("after the cold time the object is sent to %s, want %s as before", sel.target.Name, first)
 	}
 }
--- a/internal/placement/expected.go
+++ b/internal/placement/expected.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// expectedTTL is how long after a request of the region a target is expected to get
-	// one of this VM: callers pick a VM of the region at random.
-	expectedTTL = 10 * time.Second
-	// openingShare is the share of a run, and of the objective's slack, from which the
-	// time to connect justifies opening ahead.
-	openingShare = 0.25
+	// expectedWindow is how long after a request from any VM of the region a target is
+	// expected to get one from this VM, as callers choose a VM of the region at random.
+	expectedWindow = 10 * time.Second
+	// minConnectFraction is the fraction of the run time, and of the time that the objective
+	// leaves besides it, that connecting must take for opening connections ahead to be worth
+	// it.
+	minConnectFraction = 0.25
 )
 
-// Expected returns the warm, usable targets that are likely to get a request soon and
-// are slow to connect to, the most recently used first.
+// Expected returns the targets that are likely to get a request soon and are slow to connect
+// to, the most recently used first. Cold and unusable targets are left out.
 func (p *Pool) Expected(now time.Time) []*config.TargetIndex {
 	var expected []*targetState
-	for _, t := range p.order {
-		if p.slowToOpen(t.Region) && now.Sub(t.usedAt) <= expectedTTL && t.usable(now) && !t.cold(now) {
+	for _, t := range p.sortedTargets {
+		if p.slowToConnect(t.Region) && now.Sub(t.lastRequest) <= expectedWindow && t.usable(now) && !t.cold(now) {
 			expected = append(expected, t)
 		}
 	}
-	slices.SortStableFunc(expected, func(x, y *targetState) int { return y.usedAt.Compare(x.usedAt) })
+	slices.SortStableFunc(expected, func(x, y *targetState) int { return y.lastRequest.Compare(x.lastRequest) })
 	targets := make([]*config.TargetIndex, len(expected))
 	for i, t := range expected {
 		targets[i] = t.TargetIndex
@@ -33,23 +34,24 @@
 	return targets
 }
 
-// slowToOpen reports whether callers would notice the time to connect to a region.
-func (p *Pool) slowToOpen(region string) bool {
-	run := p.runs.expect(true, 0)
-	return run > 0 && float64(p.roundTrips[region]) >= openingShare*float64(max(run, p.objective-run))
+// slowToConnect reports whether connecting to a region takes long enough for callers to
+// notice.
+func (p *Pool) slowToConnect(region string) bool {
+	runTime := p.runTimes.expect(true, 0)
+	return runTime > 0 && float64(p.roundTrips[region]) >= minConnectFraction*float64(max(runTime, p.objective-runTime))
 }
 
-// recordObjective records the shortest objective.
-func (p *Pool) recordObjective(a *Request) {
-	if a.Rule == nil || a.Rule.ObjectiveMS <= 0 {
+// recordObjective records the shortest objective of the requests so far.
+func (p *Pool) recordObjective(req *Request) {
+	if req.Rule == nil || req.Rule.ObjectiveMS <= 0 {
 		return
 	}
-	if o := a.Rule.ObjectiveMS.Duration(); p.objective == 0 || o < p.objective {
+	if o := req.Rule.ObjectiveMS.Duration(); p.objective == 0 || o < p.objective {
 		p.objective = o
 	}
 }
 
-// Expected implements admission.Expecter, for all services.
+// Expected implements admission.Expecter for the targets of all services.
 func (a *Admitter) Expected() []*config.TargetIndex {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/placement/fuzz_test.go
+++ b/internal/placement/fuzz_test.go
@@ -8,9 +8,10 @@
 	"masticturn/internal/peer"
 )
 
-// corruptCases is the number of corrupt messages in an ordinary run.
+// corruptCases is the number of corrupt messages in a run without fuzzing.
 const corruptCases = 4000
 
+// reportSeeds returns encoded reports from which corrupt ones are derived.
 func reportSeeds(t testing.TB) [][]byte {
 	raw, err := peer.Encode(&LoadReport{TTL: time.Second, Services: map[string]*Usage{"svc": {
 		Running: map[uint32]int{shortID("ros-0"): 3, shortID("ros-1"): 1}, Objects: map[uint32][]string{shortID("ros-0"): {"a", "b"}},
@@ -21,33 +22,34 @@
 	return [][]byte{raw}
 }
 
-// checkReport applies a message from a child and from the parent. The load at a target must
-// stay between this VM's own requests and the bound.
+// checkReport applies a report as one of a child and as one of the parent. The set of targets
+// must not change, the requests and objects counted at a target must stay within bounds, and
+// the VM's own requests must still be reported.
 func checkReport(t *testing.T, p *Pool, data []byte) {
-	var w LoadReport
-	if peer.CheckPayload(data) != nil || peer.Decode(data, &w) != nil {
+	var report LoadReport
+	if peer.CheckPayload(data) != nil || peer.Decode(data, &report) != nil {
 		return
 	}
-	targets := len(p.order)
-	for _, u := range w.Services {
+	targets := len(p.sortedTargets)
+	for _, u := range report.Services {
 		if u != nil {
-			p.ApplyUsage(u, w.TTL, start)
+			p.ApplyUsage(u, report.TTL, start)
 		}
 	}
-	if len(p.targets) != targets || len(p.order) != targets {
-		t.Errorf("%q makes %d targets of %d", data, len(p.targets), targets)
+	if len(p.targets) != targets || len(p.sortedTargets) != targets {
+		t.Errorf("%q changes the number of targets to %d, want %d", data, len(p.targets), targets)
 	}
-	for _, target := range p.order {
-		if target.shared < 0 || target.shared > target.maxRequests() || len(target.objects.last) > maxObjects {
-			t.Errorf("%q: %s has %d requests and %d objects", data, target.Name, target.shared, len(target.objects.last))
+	for _, target := range p.sortedTargets {
+		if target.peerRequests < 0 || target.peerRequests > target.maxRequests() || len(target.objects.lastSent) > maxObjects {
+			t.Errorf("%q: %s has %d requests and %d objects, out of bounds", data, target.Name, target.peerRequests, len(target.objects.lastSent))
 		}
 	}
 	aggregator := NewAggregator()
 	aggregator.SetPosition(TreePosition{Parent: "top", Children: []string{"below"}})
-	aggregator.Receive("below", &w, start)
-	turn := aggregator.Next(func() *LoadReport { return reportOf(1) }, start)
-	if turn.Report.Services["svc"].Running[1] < 1 {
-		t.Errorf("%q takes away what the VM itself has", data)
+	aggregator.Receive("below", &report, start)
+	out := aggregator.Next(func() *LoadReport { return testReport(1) }, start)
+	if out.Report.Services["svc"].Running[1] < 1 {
+		t.Errorf("%q removes usage of the VM itself", data)
 	}
 }
 
@@ -56,12 +58,12 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		p, _ := newTestPool(t, "ros", estiba)
+		p, _ := newTestPool(t, "ros", threeRegions)
 		checkReport(t, p, data)
 	})
 }
 
 func TestCorruptLoadReports(t *testing.T) {
-	p, _ := newTestPool(t, "ros", estiba)
+	p, _ := newTestPool(t, "ros", threeRegions)
 	mutation.Cases(reportSeeds(t), corruptCases, func(data []byte) { checkReport(t, p, data) })
 }
--- a/internal/placement/notices.go
+++ b/internal/placement/notices.go
@@ -8,100 +8,101 @@
 	"masticturn/internal/admission"
 )
 
-// maxNotices bounds the notices of targets without an entry; the oldest are dropped.
+// maxNotices is the maximum number of notices of targets without an entry. The oldest are
+// dropped.
 const maxNotices = 4096
 
-// notice is what a target instance has announced in answers.
+// notice holds what a target instance has announced in its answers.
 type notice struct {
 	leaving      bool
-	backoffUntil time.Time // Retry-After of its last refusal
-	receivedAt   time.Time // zero: none
+	backoffUntil time.Time // latest end of a Retry-After that came with a refusal
+	receivedAt   time.Time // time of the last announcement; zero: none
 }
 
-// accepting reports whether the notice allows requests now.
-func (w *notice) accepting(now time.Time) bool { return !w.leaving && !now.Before(w.backoffUntil) }
+// accepting reports whether the target accepts requests now, by its notice.
+func (n *notice) accepting(now time.Time) bool { return !n.leaving && !now.Before(n.backoffUntil) }
 
-// notices holds notices by target instance. They outlive the instance's entry, which may
-// lapse in an outage and return.
+// notices holds the notices of target instances by name. They are kept when an instance's
+// entry disappears, as the entry may expire in an outage and come back.
 type notices map[string]*notice
 
-// of returns the notice of a target.
-func (ws notices) of(name string) *notice {
-	w := ws[name]
-	if w == nil {
-		w = &notice{}
-		ws[name] = w
+// get returns the notice of a target, creating it if needed.
+func (ns notices) get(name string) *notice {
+	n := ns[name]
+	if n == nil {
+		n = &notice{}
+		ns[name] = n
 	}
-	return w
+	return n
 }
 
-// forget drops empty notices of targets without an entry, and the oldest others beyond
-// the bound.
-func (ws notices) forget(targets map[string]*targetState) {
-	var away []string
-	for name, w := range ws {
+// prune drops the notices of targets without an entry: all empty ones, and the oldest others
+// beyond maxNotices.
+func (ns notices) prune(targets map[string]*targetState) {
+	var absent []string
+	for name, n := range ns {
 		switch {
 		case targets[name] != nil:
-		case w.receivedAt.IsZero():
-			delete(ws, name)
+		case n.receivedAt.IsZero():
+			delete(ns, name)
 		default:
-			away = append(away, name)
+			absent = append(absent, name)
 		}
 	}
-	if len(away) <= maxNotices {
+	if len(absent) <= maxNotices {
 		return
 	}
-	slices.SortFunc(away, func(a, b string) int {
-		return cmp.Or(ws[a].receivedAt.Compare(ws[b].receivedAt), cmp.Compare(a, b))
+	slices.SortFunc(absent, func(a, b string) int {
+		return cmp.Or(ns[a].receivedAt.Compare(ns[b].receivedAt), cmp.Compare(a, b))
 	})
-	for _, name := range away[:len(away)-maxNotices] {
-		delete(ws, name)
+	for _, name := range absent[:len(absent)-maxNotices] {
+		delete(ns, name)
 	}
 }
 
-// RecordNotice records what a target announces. It reports whether the target has
-// stopped accepting requests by it.
-func (p *Pool) RecordNotice(name string, said admission.Notice, now time.Time) bool {
-	w := p.notices.of(name)
-	w.receivedAt = now
-	news := said.Leaving && !w.leaving
-	w.leaving = w.leaving || said.Leaving
-	if until := now.Add(said.Backoff); said.Backoff > 0 && until.After(w.backoffUntil) {
-		news = news || w.accepting(now)
-		w.backoffUntil = until
+// RecordNotice records a target's announcement. It reports whether the target stops accepting
+// requests because of it.
+func (p *Pool) RecordNotice(name string, announced admission.Notice, now time.Time) bool {
+	n := p.notices.get(name)
+	n.receivedAt = now
+	stopped := announced.Leaving && !n.leaving
+	n.leaving = n.leaving || announced.Leaving
+	if until := now.Add(announced.Backoff); announced.Backoff > 0 && until.After(n.backoffUntil) {
+		stopped = stopped || n.accepting(now)
+		n.backoffUntil = until
 	}
-	return news
+	return stopped
 }
 
-// Accepting reports whether a target's notice allows requests now.
+// Accepting reports whether a target accepts requests now, by its notice.
 func (p *Pool) Accepting(name string, now time.Time) bool {
-	w := p.notices[name]
-	return w == nil || w.accepting(now)
+	n := p.notices[name]
+	return n == nil || n.accepting(now)
 }
 
-// availableAt returns the earliest time at which a target may take the request; false if
-// no such time is known.
-func (p *Pool) availableAt(a *Request, now time.Time) (at time.Time, ok bool) {
-	for _, t := range p.order {
-		if !p.eligible(t, a) {
+// availableAt returns the earliest time at which no backoff or ejection keeps an eligible
+// target from taking the request; false if no target is eligible.
+func (p *Pool) availableAt(req *Request, now time.Time) (at time.Time, ok bool) {
+	for _, t := range p.sortedTargets {
+		if !p.eligible(t, req) {
 			continue
 		}
-		free := later(t.notice.backoffUntil, t.barredUntil)
-		if !now.Before(free) {
+		available := later(t.notice.backoffUntil, t.ejectedUntil)
+		if !now.Before(available) {
 			return now, true
 		}
-		if !ok || free.Before(at) {
-			at, ok = free, true
+		if !ok || available.Before(at) {
+			at, ok = available, true
 		}
 	}
 	return at, ok
 }
 
-// backoffEnd returns the earliest end of a backoff if all eligible targets have asked for
-// one.
-func (p *Pool) backoffEnd(a *Request, now time.Time) (at time.Time, ok bool) {
-	for _, t := range p.order {
-		if !p.eligible(t, a) {
+// backoffEnd returns the earliest end of a backoff; false if not all eligible targets have
+// asked for one, or none is eligible.
+func (p *Pool) backoffEnd(req *Request, now time.Time) (at time.Time, ok bool) {
+	for _, t := range p.sortedTargets {
+		if !p.eligible(t, req) {
 			continue
 		}
 		if t.notice.accepting(now) {
--- a/internal/placement/notices_test.go
+++ b/internal/placement/notices_test.go
@@ -8,8 +8,8 @@
 	"masticturn/internal/admission"
 )
 
-// without returns a site's view without the named targets.
-func (s site) without(t *testing.T, p *Pool, names ...string) {
+// setTargetsWithout sets a pool's targets to those of the layout without the named ones.
+func (s targetLayout) setTargetsWithout(t *testing.T, p *Pool, names ...string) {
 	t.Helper()
 	v, svc := s.view(t)
 	rest := *svc
@@ -26,140 +26,140 @@
 	p.SetTargets(&rest, v)
 }
 
-// chosen returns the targets picked for many objects.
-func chosen(p *Pool, now time.Time) map[string]bool {
+// chosenTargets returns the names of the targets chosen for 200 objects.
+func chosenTargets(p *Pool, now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for n := range 200 {
-		if at := p.Choose(ask(fmt.Sprint(n)), now); at != nil {
-			out[at.index.Name] = true
+		if sel := p.Choose(newRequest(fmt.Sprint(n)), now); sel != nil {
+			out[sel.index.Name] = true
 		}
 	}
 	return out
 }
 
 func TestLeavingTargetIsNotChosenAgain(t *testing.T) {
-	p, _ := newTestPool(t, "ros", estiba)
-	if !chosen(p, start)["ros-0"] {
-		t.Fatal("the target is not chosen before")
+	p, _ := newTestPool(t, "ros", threeRegions)
+	if !chosenTargets(p, start)["ros-0"] {
+		t.Fatal("the target is not chosen before its notice")
 	}
 	if !p.RecordNotice("ros-0", admission.Notice{Leaving: true}, start) || p.RecordNotice("ros-0", admission.Notice{Leaving: true}, start) {
-		t.Error("the word is no news, or twice")
+		t.Error("RecordNotice: want true for the first notice and false for its repetition")
 	}
 	steps := map[string]func(){
-		"at once":                            func() {},
-		"with the same view again":           func() { estiba.without(t, p) },
-		"after its entry was away":           func() { estiba.without(t, p, "ros-0"); estiba.without(t, p) },
-		"after others left and came back":    func() { estiba.without(t, p, "ros-1", "bb-0"); estiba.without(t, p) },
-		"after words of many others' starts": func() { announceMany(p, maxNotices/2) },
+		"at once":                  func() {},
+		"with the same view again": func() { threeRegions.setTargetsWithout(t, p) },
+		"after its entry disappeared and came back":         func() { threeRegions.setTargetsWithout(t, p, "ros-0"); threeRegions.setTargetsWithout(t, p) },
+		"after entries of others disappeared and came back": func() { threeRegions.setTargetsWithout(t, p, "ros-1", "bb-0"); threeRegions.setTargetsWithout(t, p) },
+		"after notices of many other instances":             func() { announceLeavingOfMany(p, maxNotices/2) },
 	}
 	for name, step := range steps {
 		step()
 		now := start.Add(time.Hour)
-		if got := chosen(p, now); got["ros-0"] || !got["ros-1"] {
-			t.Errorf("%s: chosen are %v", name, got)
+		if got := chosenTargets(p, now); got["ros-0"] || !got["ros-1"] {
+			t.Errorf("%s: chosen targets are %v, want ros-1 and not ros-0", name, got)
 		}
 		if p.Accepting("ros-0", now) || !p.Accepting("ros-1", now) {
-			t.Errorf("%s: requests on their way: ros-0 %v, ros-1 %v", name, p.Accepting("ros-0", now), p.Accepting("ros-1", now))
+			t.Errorf("%s: accepting: ros-0 %v, ros-1 %v, want false and true", name, p.Accepting("ros-0", now), p.Accepting("ros-1", now))
 		}
-		if len(chosen(p, now)) < 5 {
-			t.Errorf("%s: others are not chosen either", name)
+		if len(chosenTargets(p, now)) < 5 {
+			t.Errorf("%s: fewer than 5 other targets are chosen", name)
 		}
 	}
 	for _, target := range p.Expected(start) {
 		if target.Name == "ros-0" {
-			t.Error("connections are opened ahead to a target that leaves")
+			t.Error("a leaving target is expected to get requests")
 		}
 	}
 }
 
-// announceMany lets many instances without an entry announce that they leave.
-func announceMany(p *Pool, n int) {
+// announceLeavingOfMany records notices of n leaving instances without an entry.
+func announceLeavingOfMany(p *Pool, n int) {
 	for i := range n {
 		p.RecordNotice(fmt.Sprint("gone ", i), admission.Notice{Leaving: true}, start.Add(time.Duration(i)))
 	}
 }
 
 func TestNoticesOfAbsentTargetsAreBounded(t *testing.T) {
-	p, _ := newTestPool(t, "ros", estiba)
+	p, _ := newTestPool(t, "ros", threeRegions)
 	p.RecordNotice("ros-0", admission.Notice{Leaving: true}, start.Add(-time.Hour))
-	announceMany(p, 2*maxNotices)
-	estiba.without(t, p)
+	announceLeavingOfMany(p, 2*maxNotices)
+	threeRegions.setTargetsWithout(t, p)
 	if most := maxNotices + len(p.targets); len(p.notices) > most {
-		t.Errorf("%d words, at most %d are allowed", len(p.notices), most)
+		t.Errorf("%d notices are kept, want %d at most", len(p.notices), most)
 	}
 	if p.Accepting("ros-0", start) || p.Accepting(fmt.Sprint("gone ", 2*maxNotices-1), start) || !p.Accepting("gone 0", start) {
-		t.Error("the wrong words were forgotten")
+		t.Error("a recent notice, or one of a target with an entry, was dropped")
 	}
 }
 
-func TestBackoffEndsInTime(t *testing.T) {
-	p, _ := newTestPool(t, "ros", estiba)
+func TestBackoffExpires(t *testing.T) {
+	p, _ := newTestPool(t, "ros", threeRegions)
 	p.RecordNotice("ros-0", admission.Notice{Backoff: 3 * time.Second}, start)
-	p.RecordNotice("ros-0", admission.Notice{Backoff: time.Second}, start) // the longer one counts
+	p.RecordNotice("ros-0", admission.Notice{Backoff: time.Second}, start) // shorter, so ignored
 	for _, s := range []struct {
 		after time.Duration
 		want  bool
 	}{{0, false}, {3*time.Second - 1, false}, {3 * time.Second, true}} {
 		now := start.Add(s.after)
-		if got := chosen(p, now)["ros-0"]; got != s.want || p.Accepting("ros-0", now) != s.want {
+		if got := chosenTargets(p, now)["ros-0"]; got != s.want || p.Accepting("ros-0", now) != s.want {
 			t.Errorf("after %v: chosen %v, want %v", s.after, got, s.want)
 		}
 	}
-	estiba.without(t, p, "ros-0")
-	estiba.without(t, p)
-	if chosen(p, start.Add(time.Second))["ros-0"] {
-		t.Error("its word is forgotten while its entry is away")
+	threeRegions.setTargetsWithout(t, p, "ros-0")
+	threeRegions.setTargetsWithout(t, p)
+	if chosenTargets(p, start.Add(time.Second))["ros-0"] {
+		t.Error("the notice was dropped while the target had no entry")
 	}
 }
 
-func TestRefusalNamesTheEarliestEndOfBackoff(t *testing.T) {
-	p, _ := newTestPool(t, "ros", site{perRegion: map[string]int{"ros": 3}, slots: 1})
-	waiting := admit(p, timedAsk("running", 1, start), start)
+func TestRetryAfterIsEarliestEndOfBackoff(t *testing.T) {
+	p, _ := newTestPool(t, "ros", targetLayout{perRegion: map[string]int{"ros": 3}, slots: 1})
+	first := enqueueAndServe(p, newTimedRequest("running", 1, start), start)
 	for i := range 3 {
 		p.RecordNotice(fmt.Sprintf("ros-%d", i), admission.Notice{Backoff: time.Duration(4-i) * time.Second}, start)
 	}
-	if waiting.Selected == nil {
-		t.Fatal("not placed")
+	if first.Selected == nil {
+		t.Fatal("the first request was not placed")
 	}
-	w := admit(p, timedAsk("x", 1, start), start.Add(500*time.Millisecond))
+	w := enqueueAndServe(p, newTimedRequest("x", 1, start), start.Add(500*time.Millisecond))
 	if w.Refused == nil || w.Refused.Reason != reasonBackoff || w.Refused.RetryAfter != 1500*time.Millisecond {
-		t.Errorf("%+v, want it refused for 1.5 s", w.Refused)
+		t.Errorf("%+v, want a refusal with a Retry-After of 1.5 s", w.Refused)
 	}
 	p.RecordNotice("ros-2", admission.Notice{Leaving: true}, start)
-	if w := admit(p, timedAsk("y", 1, start), start); w.Refused == nil || w.Refused.RetryAfter != 3*time.Second {
-		t.Errorf("%+v, want it refused for 3 s", w.Refused)
+	if w := enqueueAndServe(p, newTimedRequest("y", 1, start), start); w.Refused == nil || w.Refused.RetryAfter != 3*time.Second {
+		t.Errorf("%+v, want a refusal with a Retry-After of 3 s", w.Refused)
 	}
 	for i := range 2 {
 		p.RecordNotice(fmt.Sprintf("ros-%d", i), admission.Notice{Leaving: true}, start)
 	}
-	if w := admit(p, timedAsk("z", 1, start), start); w.Refused == nil || w.Refused.Reason != reasonNoTarget {
-		t.Errorf("%+v, want that no target may take it", w.Refused)
+	if w := enqueueAndServe(p, newTimedRequest("z", 1, start), start); w.Refused == nil || w.Refused.Reason != reasonNoTarget {
+		t.Errorf("%+v, want a refusal because no target may take it", w.Refused)
 	}
 }
 
 // Waiting requests are refused when all targets ask for backoff.
 func TestWaitingRequestsAreRefusedWhenAllTargetsBackOff(t *testing.T) {
 	p, _ := fullPool(t)
-	w := admit(p, timedAsk("waits", 1, start), start)
+	w := enqueueAndServe(p, newTimedRequest("waits", 1, start), start)
 	if w.decided() {
-		t.Fatal("it does not wait")
+		t.Fatal("the request does not wait")
 	}
 	p.RecordNotice("ros-0", admission.Notice{Backoff: 3 * time.Second}, start.Add(time.Millisecond))
 	done := p.Serve(start.Add(time.Millisecond))
 	if len(done) != 1 || w.Refused == nil || w.Refused.RetryAfter != 3*time.Second {
-		t.Errorf("%+v, want it refused at once", w.Refused)
+		t.Errorf("%+v, want a refusal with a Retry-After of 3 s", w.Refused)
 	}
 }
 
-// A target that fails for a moment does not end the wait for it.
-func TestRequestsWaitForBarredTargets(t *testing.T) {
+// Requests go on waiting while their only target is ejected, as an ejection ends soon.
+func TestRequestsWaitForEjectedTargets(t *testing.T) {
 	p, running := fullPool(t)
-	w := admit(p, timedAsk("waits", 1, start), start)
-	p.Release(running[0], Result{Shed: true}, start) // bars it for a tenth of a second
+	w := enqueueAndServe(p, newTimedRequest("waits", 1, start), start)
+	p.Release(running[0], Result{Shed: true}, start) // ejects the target for minShedEjection
 	if done := p.Serve(start); len(done) != 0 {
-		t.Errorf("%+v, want it to wait", w.Refused)
+		t.Errorf("%+v, want the request to wait", w.Refused)
 	}
-	if done := p.Serve(start.Add(minShedBar)); len(done) != 1 || w.Selected == nil {
-		t.Errorf("%+v, want it placed", w.Refused)
+	if done := p.Serve(start.Add(minShedEjection)); len(done) != 1 || w.Selected == nil {
+		t.Errorf("%+v, want the request to be placed", w.Refused)
 	}
 }
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -6,28 +6,31 @@
 	"time"
 )
 
-// Policy names an algorithm that picks the target of a request.
+// Policy is the name of an algorithm that chooses the target of a request.
 type Policy string
 
-// The policies. All respect the limits of cold targets and the allowed regions.
+// The policies. All of them respect the limits of cold targets and the allowed regions.
 const (
-	// PolicyCompletion takes the object's target with the earliest expected answer.
+	// PolicyCompletion chooses the one of the object's targets that is expected to answer
+	// first.
 	PolicyCompletion Policy = "completion"
-	// PolicyHashing takes the object's first target of the own region at which this VM
-	// has slots left.
+	// PolicyHashing chooses the object's first target in this VM's region at which the VM
+	// has not used up its share of the slots.
 	PolicyHashing Policy = "hashing"
-	// PolicyHashingRegions continues in other regions if the own one is full.
+	// PolicyHashingRegions is like PolicyHashing, but goes on to other regions if the VM has
+	// used up its share of all targets in its own.
 	PolicyHashingRegions Policy = "hashing-regions"
-	// PolicyLeastLoaded takes the own region's target with the least estimated load.
+	// PolicyLeastLoaded chooses the target in this VM's region with the lowest estimated
+	// load.
 	PolicyLeastLoaded Policy = "least-loaded"
-	// PolicyPowerOfTwo takes the less loaded of two random targets of the own region.
+	// PolicyPowerOfTwo chooses the less loaded of two random targets in this VM's region.
 	PolicyPowerOfTwo Policy = "power-of-two"
 )
 
-// chooser returns the target of a request; nil if none has room.
-type chooser func(p *Pool, a *Request, now time.Time) *Selection
+// chooseFunc chooses the target of a request; nil if all are full.
+type chooseFunc func(p *Pool, req *Request, now time.Time) *Selection
 
-var choosers = map[Policy]chooser{
+var chooseFuncs = map[Policy]chooseFunc{
 	PolicyCompletion:     (*Pool).chooseCompletion,
 	PolicyHashing:        (*Pool).chooseHashing,
 	PolicyHashingRegions: (*Pool).chooseHashingRegions,
@@ -35,40 +38,41 @@
 	PolicyPowerOfTwo:     (*Pool).choosePowerOfTwo,
 }
 
-// Policies lists all policies, the default one first.
+// Policies returns all policies, the default first.
 func Policies() []Policy {
 	return []Policy{PolicyCompletion, PolicyHashing, PolicyHashingRegions, PolicyLeastLoaded, PolicyPowerOfTwo}
 }
 
-// Known reports whether there is such a policy.
-func (p Policy) Known() bool { return choosers[p] != nil }
+// Known reports whether the policy exists.
+func (p Policy) Known() bool { return chooseFuncs[p] != nil }
 
-// chooseHashing is PolicyHashing.
-func (p *Pool) chooseHashing(a *Request, now time.Time) *Selection {
-	return p.firstUnfilled(a, p.hashed(a, true, now), now)
+// chooseHashing implements PolicyHashing.
+func (p *Pool) chooseHashing(req *Request, now time.Time) *Selection {
+	return p.firstUnfilled(req, p.rankedTargets(req, true, now), now)
 }
 
-// chooseHashingRegions is PolicyHashingRegions.
-func (p *Pool) chooseHashingRegions(a *Request, now time.Time) *Selection {
-	if at := p.chooseHashing(a, now); at != nil {
-		return at
+// chooseHashingRegions implements PolicyHashingRegions.
+func (p *Pool) chooseHashingRegions(req *Request, now time.Time) *Selection {
+	if sel := p.chooseHashing(req, now); sel != nil {
+		return sel
 	}
-	return p.firstUnfilled(a, p.hashed(a, false, now), now)
+	return p.firstUnfilled(req, p.rankedTargets(req, false, now), now)
 }
 
-// firstUnfilled returns the first target at which this VM has slots of its share left.
-func (p *Pool) firstUnfilled(a *Request, order []*targetState, now time.Time) *Selection {
-	for rank, t := range order {
-		if t.own < p.slotShare(t) {
-			return p.placed(t, a, rank, a.Key == "" || t.objects.known(a.Key), now)
+// firstUnfilled returns the first target at which this VM has fewer requests than its share
+// of the slots.
+func (p *Pool) firstUnfilled(req *Request, ranked []*targetState, now time.Time) *Selection {
+	for rank, t := range ranked {
+		if t.ownRequests < p.fairSlots(t) {
+			return p.newSelection(t, req, rank, req.Key == "" || t.objects.known(req.Key), now)
 		}
 	}
 	return nil
 }
 
-// slotShare is this VM's share of a target's slots among the VMs of the region, doubled,
-// as not all are busy at a time.
-func (p *Pool) slotShare(t *targetState) int {
+// fairSlots returns this VM's share of a target's slots among the VMs of its region. The
+// share is doubled, as the VMs are not all busy at the same time.
+func (p *Pool) fairSlots(t *targetState) int {
 	vms := 0
 	for _, vm := range p.fleet.VMs {
 		if vm.Region == p.region {
@@ -78,52 +82,54 @@
 	return max(1, 2*t.Slots/max(vms, 1))
 }
 
-// hashed returns the allowed targets of the own region, or of the others, in rank order.
-func (p *Pool) hashed(a *Request, own bool, now time.Time) []*targetState {
+// rankedTargets returns the allowed targets in this VM's region, or else in the other
+// regions, in rank order.
+func (p *Pool) rankedTargets(req *Request, local bool, now time.Time) []*targetState {
 	var out []*targetState
-	for _, t := range p.rank(p.hashKey(a)) {
-		if p.allowed(t, a, own, now) {
+	for _, t := range p.rank(p.hashKey(req)) {
+		if p.allowed(t, req, local, now) {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// allowed reports whether a target is in the own region, or outside it, and may get the
-// request.
-func (p *Pool) allowed(t *targetState, a *Request, own bool, now time.Time) bool {
-	return (t.Region == p.region) == own && p.mayServe(t, a, now) && p.mayUseCold(t, now)
+// allowed reports whether a target may get the request and is in this VM's region, or in
+// another one if local is false.
+func (p *Pool) allowed(t *targetState, req *Request, local bool, now time.Time) bool {
+	return (t.Region == p.region) == local && p.canServe(t, req, now) && p.coldLimitAllows(t, now)
 }
 
-// local returns the own region's targets that may get the request.
-func (p *Pool) local(a *Request, now time.Time) []*targetState {
+// localTargets returns the targets in this VM's region that may get the request.
+func (p *Pool) localTargets(req *Request, now time.Time) []*targetState {
 	var out []*targetState
-	for _, t := range p.order {
-		if p.allowed(t, a, true, now) {
+	for _, t := range p.sortedTargets {
+		if p.allowed(t, req, true, now) {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// chooseLeastLoaded is PolicyLeastLoaded.
-func (p *Pool) chooseLeastLoaded(a *Request, now time.Time) *Selection {
-	return p.leastLoaded(a, p.local(a, now), now)
+// chooseLeastLoaded implements PolicyLeastLoaded.
+func (p *Pool) chooseLeastLoaded(req *Request, now time.Time) *Selection {
+	return p.leastLoaded(req, p.localTargets(req, now), now)
 }
 
-// choosePowerOfTwo is PolicyPowerOfTwo.
-func (p *Pool) choosePowerOfTwo(a *Request, now time.Time) *Selection {
-	drawn := p.local(a, now)
-	p.rand.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
-	return p.leastLoaded(a, drawn[:min(2, len(drawn))], now)
+// choosePowerOfTwo implements PolicyPowerOfTwo.
+func (p *Pool) choosePowerOfTwo(req *Request, now time.Time) *Selection {
+	targets := p.localTargets(req, now)
+	p.rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
+	return p.leastLoaded(req, targets[:min(2, len(targets))], now)
 }
 
-func (p *Pool) leastLoaded(a *Request, targets []*targetState, now time.Time) *Selection {
+// leastLoaded chooses the target with the lowest estimated load; nil if there are none.
+func (p *Pool) leastLoaded(req *Request, targets []*targetState, now time.Time) *Selection {
 	if len(targets) == 0 {
 		return nil
 	}
 	best := slices.MinFunc(targets, func(x, y *targetState) int {
-		return cmp.Compare(x.busy(now), y.busy(now))
+		return cmp.Compare(x.load(now), y.load(now))
 	})
-	return p.placed(best, a, 0, a.Key == "" || best.objects.known(a.Key), now)
+	return p.newSelection(best, req, 0, req.Key == "" || best.objects.known(req.Key), now)
 }
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -1,7 +1,7 @@
-// Package placement picks the target of each request. It weighs the request's object,
-// requests in flight, response times, the load that targets report with their answers,
-// and the load reports of the region's other VMs. Requests wait in a queue while no
-// target has room.
+// Package placement chooses the target of each request. It takes into account the request's
+// object, requests in flight, response times, the load that targets report with their
+// answers, and the load reports of the region's other VMs. Requests wait in a queue while
+// all targets are full.
 package placement
 
 import (
@@ -18,29 +18,31 @@
 
 const (
 	// replicas is the number of targets per object. The second takes the overflow of
-	// the first; each further one adds a slow first run.
+	// the first. Each further one would add a slow first run to fill its cache.
 	replicas = 2
-	// A remote region's slots weigh between minRemoteWeight, where this region has its
-	// share of the slots, and maxRemoteWeight, where it has half of that or less. The
-	// weight ignores the load, so that objects do not move between regions with it.
+	// A slot in another region has a weight between minRemoteWeight, if this region has an
+	// equal share of all slots, and maxRemoteWeight, if it has half of that or less. A slot
+	// in this region has weight 1. The weight does not depend on the load, so that objects
+	// do not move between regions when the load changes.
 	minRemoteWeight = 0.03
 	maxRemoteWeight = 0.15
-	// rankStep is the gain required to prefer an object's next target.
-	rankStep = 100 * time.Millisecond
-	// spareSlots is the number of free slots required at an object's next target if the
-	// object may be new to it, as such a run takes several times as long. A target with
-	// fewer slots must be idle.
-	spareSlots = 2
-	// maxQueuedPerSlot bounds the requests that wait at a target, per slot.
+	// rankPenalty is how much earlier an object's next target must be expected to answer
+	// for it to be preferred.
+	rankPenalty = 100 * time.Millisecond
+	// minSpareSlots is the minimum number of free slots at an object's next target if the
+	// object is not known to be in its cache, as such a run takes several times as long. A
+	// target with fewer slots must be idle.
+	minSpareSlots = 2
+	// maxQueuedPerSlot is the maximum number of requests queued at a target, per slot.
 	maxQueuedPerSlot = 1.0
 )
 
-// Request is a request that wants a target.
+// Request describes a request for which a target is chosen.
 type Request struct {
 	ID       string       // for logs
-	Key      string       // object; empty: none
+	Key      string       // key of the object that the request is about; empty: none
 	Rule     *config.Rule // nil: every region is allowed
-	Priority int          // 0 goes first
+	Priority int          // lower values are served first
 	Exclude  []string     // targets already tried
 	Arrived  time.Time
 	Deadline time.Time
@@ -49,34 +51,34 @@
 // Options configures a pool.
 type Options struct {
 	Region string     // of this VM
-	Policy Policy     // how targets are chosen; empty: PolicyCompletion
-	Rand   *rand.Rand // for requests without an object and random policies
+	Policy Policy     // empty: PolicyCompletion
+	Rand   *rand.Rand // for requests without an object and for random policies
 }
 
-// Pool is the targets of one service. It is not safe for concurrent use and
-// does no I/O.
+// Pool holds the targets of one service and the queue of its waiting requests. It is not safe
+// for concurrent use and does no I/O.
 type Pool struct {
-	region  string // of this VM
-	choose  chooser
-	rand    *rand.Rand
-	targets map[string]*targetState
-	order   []*targetState // by name
-	fleet   Fleet
-	// fleetVersion changes with the fleet and the cold rate.
+	region        string // of this VM
+	chooseTarget  chooseFunc
+	rand          *rand.Rand
+	targets       map[string]*targetState
+	sortedTargets []*targetState // by name
+	fleet         Fleet
+	// fleetVersion is incremented when the fleet or the cold rate changes.
 	fleetVersion uint64
-	coldRate     float64       // limit of a cold target, requests/s; 0: none
-	coldTime     time.Duration // how long a target stays cold after its start
-	runs         runTimes
-	roundTrips   map[string]mean // by region
-	remoteWeight float64         // of a slot of another region
-	objective    time.Duration   // shortest one seen; 0: none
-	queue        []*Waiting      // in order of service
-	ranking      ranking
+	coldRate     float64       // maximum rate of requests to a cold target, requests/s; 0: no limit
+	coldDuration time.Duration // how long a target is cold after its start
+	runTimes     runTimes
+	roundTrips   map[string]movingAverage // round-trip time by region
+	remoteWeight float64                  // weight of a slot in another region
+	objective    time.Duration            // shortest objective of any request; 0: none
+	queue        []*Waiting               // in the order in which it is served
+	ranking      rankingCache
 
 	notices      notices
-	newObjects   map[uint32][]string // by target; not yet reported
-	lastReported map[uint32]int      // requests by target in the last report
-	usageExpires time.Time           // end of the other VMs' usage
+	newObjects   map[uint32][]string // first sent to a target since the last report, by shortID of the target
+	lastReported map[uint32]int      // this VM's requests in its last report, by shortID of the target
+	usageExpires time.Time           // when the last total of the region expires
 }
 
 // NewPool returns a pool without targets.
@@ -85,13 +87,13 @@
 		o.Policy = PolicyCompletion
 	}
 	return &Pool{
-		region:     o.Region,
-		choose:     choosers[o.Policy],
-		rand:       o.Rand,
-		targets:    make(map[string]*targetState),
-		roundTrips: make(map[string]mean),
-		notices:    make(notices),
-		newObjects: make(map[uint32][]string),
+		region:       o.Region,
+		chooseTarget: chooseFuncs[o.Policy],
+		rand:         o.Rand,
+		targets:      make(map[string]*targetState),
+		roundTrips:   make(map[string]movingAverage),
+		notices:      make(notices),
+		newObjects:   make(map[uint32][]string),
 	}
 }
 
@@ -101,38 +103,38 @@
 	p.fleetVersion++
 }
 
-// SetTargets replaces the targets. Those that stay keep their state.
+// SetTargets replaces the targets. The state of targets that remain is kept.
 func (p *Pool) SetTargets(svc *config.ServiceIndex, v *discovery.View) {
 	next := make(map[string]*targetState, len(svc.AllTargets))
-	p.order = p.order[:0]
+	p.sortedTargets = p.sortedTargets[:0]
 	for _, t := range svc.AllTargets {
 		s := p.targets[t.Name]
 		if s == nil {
-			s = &targetState{id: shortID(t.Name), notice: p.notices.of(t.Name)}
+			s = &targetState{id: shortID(t.Name), notice: p.notices.get(t.Name)}
 		}
 		s.TargetIndex = t
 		s.evacuated = v.Evacuated[t.Zone]
 		s.coldUntil = later(s.coldUntil, v.ColdUntil[t.Name])
 		next[t.Name] = s
-		p.order = append(p.order, s)
+		p.sortedTargets = append(p.sortedTargets, s)
 	}
 	p.targets = next
-	p.notices.forget(next)
+	p.notices.prune(next)
 	if p.coldRate != svc.ColdRequestsPerSecond {
 		p.coldRate = svc.ColdRequestsPerSecond
 		p.fleetVersion++
 	}
-	p.coldTime = svc.ColdMS.Duration()
+	p.coldDuration = svc.ColdMS.Duration()
 	p.remoteWeight = p.computeRemoteWeight()
 	p.ranking.clear()
 }
 
-// computeRemoteWeight returns the weight of a slot of another region. It grows as this
-// region falls short of its share of the slots.
+// computeRemoteWeight returns the weight of a slot in another region. It grows the more this
+// region's slots fall short of an equal share.
 func (p *Pool) computeRemoteWeight() float64 {
 	regions := make(map[string]bool)
 	own, total := 0, 0
-	for _, t := range p.order {
+	for _, t := range p.sortedTargets {
 		regions[t.Region] = true
 		if t.Leaving || t.evacuated {
 			continue
@@ -146,133 +148,133 @@
 		return maxRemoteWeight
 	}
 	share := float64(own*len(regions)) / float64(total)
-	lacking := min(max(2*(1-share), 0), 1)
-	return minRemoteWeight + lacking*(maxRemoteWeight-minRemoteWeight)
+	shortfall := min(max(2*(1-share), 0), 1)
+	return minRemoteWeight + shortfall*(maxRemoteWeight-minRemoteWeight)
 }
 
-// Selection is the target picked for a request, and why.
+// Selection is the target chosen for a request, with the state on which the choice was based.
 type Selection struct {
-	target *targetState
-	index  *config.TargetIndex // the target's entry at the time
-	key    string
-	rank   int           // position among the object's targets
-	known  bool          // the object has been sent there before
-	queued bool          // all slots were in use
-	own    int           // running requests of this VM
-	others int           // requests of others at the last load report
-	age    time.Duration // of the load report
+	target           *targetState
+	index            *config.TargetIndex // the target's entry when it was chosen
+	key              string
+	rank             int           // position among the object's targets; 0 is the first
+	known            bool          // the object is recorded at the target, or the request has none
+	queued           bool          // all slots were in use, so the request queues at the target
+	ownRequests      int           // requests of this VM at the target
+	reportedRequests int           // requests of other VMs at the target's last load report
+	reportAge        time.Duration // age of that report
 }
 
 // Target returns the target.
-func (at *Selection) Target() *config.TargetIndex { return at.index }
+func (sel *Selection) Target() *config.TargetIndex { return sel.index }
 
-// Choose returns the target for a request by the pool's policy; nil if none has room.
-func (p *Pool) Choose(a *Request, now time.Time) *Selection { return p.choose(p, a, now) }
+// Choose returns the target for a request by the pool's policy; nil if all are full.
+func (p *Pool) Choose(req *Request, now time.Time) *Selection { return p.chooseTarget(p, req, now) }
 
-// chooseCompletion is PolicyCompletion.
-func (p *Pool) chooseCompletion(a *Request, now time.Time) *Selection {
+// chooseCompletion implements PolicyCompletion.
+func (p *Pool) chooseCompletion(req *Request, now time.Time) *Selection {
 	var best *Selection
 	var bestCost time.Duration
-	for rank, t := range p.candidates(a, now) {
+	for rank, t := range p.candidates(req, now) {
 		if !p.hasCapacity(t, now) {
 			continue
 		}
-		known := a.Key == "" || t.objects.known(a.Key)
-		if rank > 0 && !known && t.Slots-t.busy(now) < min(spareSlots, t.Slots) {
+		known := req.Key == "" || t.objects.known(req.Key)
+		if rank > 0 && !known && t.Slots-t.load(now) < min(minSpareSlots, t.Slots) {
 			continue
 		}
-		cost := p.wait(t, now) + p.run(t, known, rank, now) + time.Duration(rank)*rankStep
+		cost := p.estimateWait(t, now) + p.estimateRun(t, known, rank, now) + time.Duration(rank)*rankPenalty
 		if best == nil || cost < bestCost {
-			best = p.placed(t, a, rank, known, now)
+			best = p.newSelection(t, req, rank, known, now)
 			bestCost = cost
 		}
 	}
 	return best
 }
 
-func (p *Pool) placed(t *targetState, a *Request, rank int, known bool, now time.Time) *Selection {
+func (p *Pool) newSelection(t *targetState, req *Request, rank int, known bool, now time.Time) *Selection {
 	return &Selection{
-		target: t,
-		index:  t.TargetIndex,
-		key:    a.Key,
-		rank:   rank,
-		known:  known,
-		queued: t.busy(now) >= t.Slots,
-		own:    t.own,
-		others: t.others,
-		age:    t.reportAge(now),
+		target:           t,
+		index:            t.TargetIndex,
+		key:              req.Key,
+		rank:             rank,
+		known:            known,
+		queued:           t.load(now) >= t.Slots,
+		ownRequests:      t.ownRequests,
+		reportedRequests: t.reportedRequests,
+		reportAge:        t.reportAge(now),
 	}
 }
 
-// hasCapacity reports whether one more request may go to a target.
+// hasCapacity reports whether a target may get one more request.
 func (p *Pool) hasCapacity(t *targetState, now time.Time) bool {
-	return t.busy(now) < t.maxRequests()
+	return t.load(now) < t.maxRequests()
 }
 
-// wait estimates the time until a slot is free.
-func (p *Pool) wait(t *targetState, now time.Time) time.Duration {
-	ahead := t.busy(now) - t.Slots + 1
+// estimateWait estimates the time until a slot of a target is free.
+func (p *Pool) estimateWait(t *targetState, now time.Time) time.Duration {
+	ahead := t.load(now) - t.Slots + 1
 	if ahead <= 0 || t.Slots == 0 {
 		return 0
 	}
-	return time.Duration(float64(ahead) / float64(t.Slots) * float64(p.run(t, true, 0, now)))
+	return time.Duration(float64(ahead) / float64(t.Slots) * float64(p.estimateRun(t, true, 0, now)))
 }
 
-// run estimates the run time of a request at a target.
-func (p *Pool) run(t *targetState, known bool, rank int, now time.Time) time.Duration {
-	return time.Duration(t.slow.now(now) * float64(p.runs.expect(known, rank)))
+// estimateRun estimates the run time of a request at a target.
+func (p *Pool) estimateRun(t *targetState, known bool, rank int, now time.Time) time.Duration {
+	return time.Duration(t.slowness.factorAt(now) * float64(p.runTimes.expect(known, rank)))
 }
 
-// possible reports whether any target could take the request, now or, if it is cold, a
-// little later.
-func (p *Pool) possible(a *Request, now time.Time) bool {
-	for _, t := range p.order {
-		if p.mayServe(t, a, now) {
+// hasUsableTarget reports whether any target is usable and eligible. A cold or full one may
+// only be able to take the request later.
+func (p *Pool) hasUsableTarget(req *Request, now time.Time) bool {
+	for _, t := range p.sortedTargets {
+		if p.canServe(t, req, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayServe reports whether a target is usable and eligible.
-func (p *Pool) mayServe(t *targetState, a *Request, now time.Time) bool {
-	return t.usable(now) && p.eligible(t, a)
+// canServe reports whether a target is usable and eligible.
+func (p *Pool) canServe(t *targetState, req *Request, now time.Time) bool {
+	return t.usable(now) && p.eligible(t, req)
 }
 
-// eligible reports whether a target may get the request, backoffs aside.
-func (p *Pool) eligible(t *targetState, a *Request) bool {
-	if !t.inService() || slices.Contains(a.Exclude, t.Name) {
+// eligible reports whether a target may get the request, regardless of backoffs and ejection.
+func (p *Pool) eligible(t *targetState, req *Request) bool {
+	if !t.inService() || slices.Contains(req.Exclude, t.Name) {
 		return false
 	}
-	return a.Rule == nil || a.Rule.Allows(t.Region)
+	return req.Rule == nil || req.Rule.Allows(t.Region)
 }
 
-// candidates returns the targets of the request's object in rank order: the first warm
-// replicas, and the cold ones before them that may take one more request.
-func (p *Pool) candidates(a *Request, now time.Time) []*targetState {
-	key := p.hashKey(a)
-	order := p.ranking.first(key)
-	if order == nil {
-		order = p.rank(key)
-		if a.Key != "" {
-			p.ranking.add(key, order)
+// candidates returns the targets of the request's object in rank order: the first warm ones,
+// as many as replicas, and cold ones that rank before them and may take one more request.
+func (p *Pool) candidates(req *Request, now time.Time) []*targetState {
+	key := p.hashKey(req)
+	ranked := p.ranking.get(key)
+	if ranked == nil {
+		ranked = p.rank(key)
+		if req.Key != "" {
+			p.ranking.add(key, ranked)
 		}
 	}
-	out, enough := p.firstReplicas(a, order, now)
-	if !enough && len(order) < len(p.order) {
-		out, _ = p.firstReplicas(a, p.rank(key), now)
+	out, complete := p.firstReplicas(req, ranked, now)
+	if !complete && len(ranked) < len(p.sortedTargets) {
+		out, _ = p.firstReplicas(req, p.rank(key), now)
 	}
 	return out
 }
 
-// rank returns all targets by their rendezvous score for an object.
+// rank returns all targets in the order of their rendezvous scores for an object.
 func (p *Pool) rank(key string) []*targetState {
 	type scored struct {
 		t     *targetState
 		score float64
 	}
-	all := make([]scored, len(p.order))
-	for i, t := range p.order {
+	all := make([]scored, len(p.sortedTargets))
+	for i, t := range p.sortedTargets {
 		weight := float64(t.Slots)
 		if t.Region != p.region {
 			weight *= p.remoteWeight
@@ -280,31 +282,31 @@
 		all[i] = scored{t, rendezvous.WeightedScore(key, t.Name, weight)}
 	}
 	slices.SortFunc(all, func(x, y scored) int { return cmp.Compare(y.score, x.score) })
-	order := make([]*targetState, len(all))
+	ranked := make([]*targetState, len(all))
 	for i := range all {
-		order[i] = all[i].t
+		ranked[i] = all[i].t
 	}
-	return order
+	return ranked
 }
 
-// hashKey returns the key that targets are ranked by: the object, or a random one.
-func (p *Pool) hashKey(a *Request) string {
-	if a.Key != "" {
-		return a.Key
+// hashKey returns the key by which targets are ranked: the object's, or a random one.
+func (p *Pool) hashKey(req *Request) string {
+	if req.Key != "" {
+		return req.Key
 	}
 	return strconv.FormatUint(p.rand.Uint64(), 36)
 }
 
-// firstReplicas returns the candidates among ranked targets, and whether they are
-// complete.
-func (p *Pool) firstReplicas(a *Request, order []*targetState, now time.Time) (out []*targetState, enough bool) {
+// firstReplicas returns the candidates among ranked targets, and whether they include as many
+// warm ones as replicas.
+func (p *Pool) firstReplicas(req *Request, ranked []*targetState, now time.Time) (out []*targetState, complete bool) {
 	out = make([]*targetState, 0, replicas)
 	warm := 0
-	for _, t := range order {
+	for _, t := range ranked {
 		if warm == replicas {
 			break
 		}
-		if !p.mayServe(t, a, now) || !p.mayUseCold(t, now) {
+		if !p.canServe(t, req, now) || !p.coldLimitAllows(t, now) {
 			continue
 		}
 		out = append(out, t)
@@ -315,18 +317,18 @@
 	return out, warm == replicas
 }
 
-// Acquire records that a request is sent to the selected target.
-func (p *Pool) Acquire(at *Selection, now time.Time) {
-	t := at.target
-	t.own++
-	t.usedAt = now
-	if at.key != "" {
-		t.objects.add(at.key, now)
-		if !at.known {
-			p.newObjects[t.id] = append(p.newObjects[t.id], at.key)
+// Acquire records that a request is sent to the chosen target.
+func (p *Pool) Acquire(sel *Selection, now time.Time) {
+	t := sel.target
+	t.ownRequests++
+	t.lastRequest = now
+	if sel.key != "" {
+		t.objects.add(sel.key, now)
+		if !sel.known {
+			p.newObjects[t.id] = append(p.newObjects[t.id], sel.key)
 		}
 	}
 	if t.cold(now) {
-		t.coldSent = now
+		t.lastColdRequest = now
 	}
 }
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -1,28 +1,29 @@
 package placement
 
 const (
-	// maxRankings bounds the cached objects; beyond it the cache is cleared.
+	// maxRankings is the maximum number of cached objects. A full cache is cleared.
 	maxRankings = 2048
-	// rankedDepth is the number of targets cached per object. The rest is ranked again
-	// if too few of them are usable.
-	rankedDepth = 16
+	// maxCachedTargets is the number of targets cached per object. If too few of them are
+	// usable, all targets are ranked again.
+	maxCachedTargets = 16
 )
 
-// ranking caches the first targets of each object, as ranking hashes all targets.
-type ranking struct {
+// rankingCache caches the highest-ranked targets of each object, as ranking hashes all of
+// the service's targets.
+type rankingCache struct {
 	byKey map[string][]*targetState
 }
 
-// first returns the first targets of an object; nil if not cached.
-func (r *ranking) first(key string) []*targetState { return r.byKey[key] }
+// get returns the highest-ranked targets of an object; nil if not cached.
+func (r *rankingCache) get(key string) []*targetState { return r.byKey[key] }
 
-func (r *ranking) add(key string, order []*targetState) {
+func (r *rankingCache) add(key string, ranked []*targetState) {
 	if r.byKey == nil || len(r.byKey) >= maxRankings {
 		r.byKey = make(map[string][]*targetState)
 	}
-	kept := make([]*targetState, min(len(order), rankedDepth))
-	copy(kept, order)
-	r.byKey[key] = kept
+	cached := make([]*targetState, min(len(ranked), maxCachedTargets))
+	copy(cached, ranked)
+	r.byKey[key] = cached
 }
 
-func (r *ranking) clear() { r.byKey = nil }
+func (r *rankingCache) clear() { r.byKey = nil }
--- a/internal/placement/release.go
+++ b/internal/placement/release.go
@@ -6,94 +6,102 @@
 	"masticturn/internal/edge"
 )
 
-// Consecutive failures that bar a target, and for how long.
+// Ejection of targets: a target that fails repeatedly or is full gets no requests for some
+// time.
 const (
-	barAfter = 2
-	barFirst = 500 * time.Millisecond
-	maxBar   = 4 * time.Second
-	// barDoublings is the number of doublings from barFirst to maxBar.
-	barDoublings = 3
-	// minShedBar is the shortest time that a full target is barred.
-	minShedBar = 100 * time.Millisecond
+	// failuresToEject is the number of consecutive failures after which a target is ejected.
+	failuresToEject = 2
+	// baseEjection is the first ejection time; each further failure doubles it up to
+	// maxEjection.
+	baseEjection = 500 * time.Millisecond
+	maxEjection  = 4 * time.Second
+	// maxEjectionDoublings is the number of doublings from baseEjection to maxEjection.
+	maxEjectionDoublings = 3
+	// minShedEjection is the shortest ejection of a full target.
+	minShedEjection = 100 * time.Millisecond
 )
 
-// Result is how a request at a target ended.
+// Result is the result of a request at a target.
 type Result struct {
-	Load    *edge.Load    // reported by the target; nil: none
-	Connect time.Duration // opening a connection; 0: none was opened
-	Latency time.Duration // from sending to the end of the answer
-	Failed  bool          // connection or answer failed
-	Shed    bool          // refused for lack of room
-	Gone    bool          // another instance has its address
-	Ended   bool          // the connection was refused
-	Left    bool          // canceled by the caller; no sign of the target's health
+	Load        *edge.Load    // load reported by the target; nil: none
+	Connect     time.Duration // time to open a connection; 0: none was opened
+	Latency     time.Duration // from sending to the end of the answer
+	Failed      bool          // the connection or the answer failed
+	Shed        bool          // the target refused it because it was full
+	Misdirected bool          // another instance has the target's address
+	Ended       bool          // the connection was refused
+	Canceled    bool          // canceled by the caller; says nothing about the target's health
 }
 
-// shedTime is how long a full target is barred: until about one slot is free again.
-func (p *Pool) shedTime(t *targetState) time.Duration {
-	return max(minShedBar, p.runs.expect(true, 0)/time.Duration(max(1, t.Slots)))
+// shedEjection returns how long a full target is ejected: about the time until one of its
+// slots is free.
+func (p *Pool) shedEjection(t *targetState) time.Duration {
+	return max(minShedEjection, p.runTimes.expect(true, 0)/time.Duration(max(1, t.Slots)))
 }
 
-// Release records the end of a request. It returns how long the target is barred for it;
-// 0: it is not.
-func (p *Pool) Release(at *Selection, r Result, now time.Time) (barred time.Duration) {
-	t := at.target
-	t.own--
+// Release records the end of a request. It returns for how long the target is ejected
+// because of failures; 0 if it is not.
+func (p *Pool) Release(sel *Selection, r Result, now time.Time) (ejected time.Duration) {
+	t := sel.target
+	t.ownRequests--
 	if r.Load != nil {
-		t.report(r.Load, t.own, p.reportTTL(t, r.Load), now)
+		t.applyReport(r.Load, t.ownRequests, p.reportTTL(t, r.Load), now)
 	}
 	if r.Connect > 0 {
 		p.recordRoundTrip(t.Region, r.Connect)
 	}
 	if r.Ended {
-		t.endedUntil = now.Add(endedTTL)
+		t.restartingUntil = now.Add(restartTTL)
 	}
 	switch {
-	case r.Left:
-	case r.Gone:
-		t.gone = true
+	case r.Canceled:
+	case r.Misdirected:
+		t.replaced = true
 	case r.Shed:
-		t.barredUntil = now.Add(p.shedTime(t))
+		t.ejectedUntil = now.Add(p.shedEjection(t))
 	case r.Failed:
 		t.failures++
-		if t.failures >= barAfter {
-			barred = min(barFirst<<min(t.failures-barAfter, barDoublings), maxBar)
-			t.barredUntil = now.Add(barred)
+		if t.failures >= failuresToEject {
+			ejected = min(baseEjection<<min(t.failures-failuresToEject, maxEjectionDoublings), maxEjection)
+			t.ejectedUntil = now.Add(ejected)
 		}
 	default:
 		t.failures = 0
-		t.answered(p.coldTime, now)
-		p.recordRun(at, r.Latency, now)
+		t.recordSuccess(p.coldDuration, now)
+		p.recordRun(sel, r.Latency, now)
 	}
-	return barred
+	return ejected
 }
 
-// reportTTL returns the validity of a target's load report: a multiple of the time that
-// the reported load takes to run. VMs that dropped it sooner would refill a long queue.
+// reportTTL returns how long a target's load report is valid: a multiple of the time that
+// the target needs to run the reported load. If reports expired sooner, VMs would send more
+// requests to a target whose queue is still long.
 func (p *Pool) reportTTL(t *targetState, load *edge.Load) time.Duration {
 	if t.Slots == 0 {
 		return minReportTTL
 	}
-	runs := reportRuns * float64(max(1, load.Running+load.Waiting-t.own)) / float64(t.Slots)
-	return max(minReportTTL, time.Duration(runs*float64(p.runs.expect(true, 0))))
+	queueRuns := reportTTLRuns * float64(max(1, load.Running+load.Waiting-t.ownRequests)) / float64(t.Slots)
+	return max(minReportTTL, time.Duration(queueRuns*float64(p.runTimes.expect(true, 0))))
 }
 
+// recordRoundTrip records the time to connect to a target of a region as its round-trip time.
 func (p *Pool) recordRoundTrip(region string, d time.Duration) {
 	m := p.roundTrips[region]
 	m.observe(d)
 	p.roundTrips[region] = m
 }
 
-// recordRun records a run time, except of requests that queued at the target.
-func (p *Pool) recordRun(at *Selection, took time.Duration, now time.Time) {
-	if at.queued {
+// recordRun records the run time of a request. Requests that were queued at the target are
+// left out, as their latency includes the wait.
+func (p *Pool) recordRun(sel *Selection, runTime time.Duration, now time.Time) {
+	if sel.queued {
 		return
 	}
-	took = max(took-time.Duration(p.roundTrips[at.target.Region]), time.Millisecond)
-	if plain := p.runs.expect(true, 0); at.known && plain > 0 {
-		at.target.slow.observe(float64(took)/float64(plain), now)
+	runTime = max(runTime-time.Duration(p.roundTrips[sel.target.Region]), time.Millisecond)
+	if expected := p.runTimes.expect(true, 0); sel.known && expected > 0 {
+		sel.target.slowness.observe(float64(runTime)/float64(expected), now)
 	}
-	if !at.target.cold(now) {
-		p.runs.observe(at.known, at.rank, took)
+	if !sel.target.cold(now) {
+		p.runTimes.observe(sel.known, sel.rank, runTime)
 	}
 }
--- a/internal/placement/reporting.go
+++ b/internal/placement/reporting.go
@@ -14,17 +14,17 @@
 func (a *Admitter) reportLoop(ctx context.Context) {
 	ticker := time.NewTicker(ReportInterval)
 	defer ticker.Stop()
-	var relay <-chan time.Time // set while children's reports are collected
+	var collected <-chan time.Time // fires when reports have been collected for GatherDelay; nil: none are pending
 	for {
 		select {
 		case <-ticker.C:
 			a.publishReport()
-		case <-relay:
-			relay = nil
+		case <-collected:
+			collected = nil
 			a.publishReport()
 		case <-a.reportReceived:
-			if relay == nil {
-				relay = time.After(GatherDelay)
+			if collected == nil {
+				collected = time.After(GatherDelay)
 			}
 		case <-ctx.Done():
 			return
@@ -49,14 +49,14 @@
 	a.sendReport(next.To, kind, next.Report)
 }
 
-// sendReport sends a report. A lost one is replaced by the next.
+// sendReport sends a report. Errors are ignored, as the next report replaces a lost one.
 func (a *Admitter) sendReport(to []string, kind peer.Kind, r *LoadReport) {
 	for _, vm := range to {
 		_ = a.deps.Network.Send(vm, kind, r)
 	}
 }
 
-// ownUsage returns this VM's usage; a.mu is held.
+// ownUsage returns this VM's usage. a.mu is held.
 func (a *Admitter) ownUsage() *LoadReport {
 	r := &LoadReport{Services: make(map[string]*Usage)}
 	for name, p := range a.pools {
@@ -67,8 +67,8 @@
 	return r
 }
 
-// applyTotal applies the region's total; a.mu is held. Services without an entry are
-// unused.
+// applyTotal applies the region's total to the pools. Services without an entry have no
+// usage. a.mu is held.
 func (a *Admitter) applyTotal(r *LoadReport, now time.Time) {
 	for name, p := range a.pools {
 		u := r.Services[name]
@@ -79,7 +79,7 @@
 	}
 }
 
-// updateTreePosition follows a change of the member list.
+// updateTreePosition recomputes this VM's position in the aggregation tree.
 func (a *Admitter) updateTreePosition(v *membership.View) {
 	var names []string
 	for _, m := range v.Members {
@@ -87,22 +87,22 @@
 			names = append(names, m.Name)
 		}
 	}
-	p, _ := TreePositionOf(a.deps.VM.Name, names) // none while leaving: nothing is sent
+	p, _ := TreePositionOf(a.deps.VM.Name, names) // a leaving VM has no position and sends nothing
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.aggregator.SetPosition(p)
 }
 
-// handleReport receives a child's report.
+// handleReport stores a child's report and signals reportLoop to forward it.
 func (a *Admitter) handleReport(_ context.Context, from string, payload []byte) (any, error) {
 	var r LoadReport
 	if err := peer.Decode(payload, &r); err != nil {
 		return nil, err
 	}
 	a.mu.Lock()
-	on := a.aggregator.Receive(from, &r, a.deps.Clock.Now())
+	forward := a.aggregator.Receive(from, &r, a.deps.Clock.Now())
 	a.mu.Unlock()
-	if !on {
+	if !forward {
 		return nil, nil
 	}
 	select {
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -9,87 +9,91 @@
 )
 
 const (
-	// minReportTTL is the least validity of a target's load report.
+	// minReportTTL is the minimum validity of a target's load report.
 	minReportTTL = 600 * time.Millisecond
-	// reportRuns is the validity in multiples of the time that the reported load takes
-	// to run.
-	reportRuns = 1.5
+	// reportTTLRuns is the validity of a load report, in multiples of the time that the
+	// target needs to run the reported load.
+	reportTTLRuns = 1.5
 )
 
-// targetState is the state of one target at this VM.
+// targetState is what this VM knows of one target instance.
 type targetState struct {
 	*config.TargetIndex
 	id        uint32 // shortID of its name
 	coldUntil time.Time
 	evacuated bool
 
-	own       int           // running requests of this VM
-	others    int           // requests of others at the last load report
-	shared    int           // running requests of the region's other VMs, by load reports
-	reported  time.Time     // time of the load report
-	reportTTL time.Duration // validity of the load report
-
-	notice      *notice   // what it announced
-	barredUntil time.Time // after failures
-	failures    int       // in a row
-	gone        bool      // its address serves another instance
-	endedUntil  time.Time // after a refused connection without an answer since
-	coldSent    time.Time // last request of this VM while it was cold
-	coldFleet   uint64    // fleetVersion of coldSender; 0: none
-	coldSender  bool      // this VM may send to it while it is cold
-	usedAt      time.Time // last request from the region
-	objects     objects
-	slow        slowness
+	ownRequests      int           // requests of this VM at the target
+	reportedRequests int           // requests of other VMs at the target's last load report
+	peerRequests     int           // requests of the region's other VMs, by their load reports
+	reportedAt       time.Time     // time of the target's last load report
+	reportTTL        time.Duration // validity of that report
+
+	notice            *notice   // what the target announced in its answers
+	ejectedUntil      time.Time // no requests until then, after failures or a refusal
+	failures          int       // consecutive failures
+	replaced          bool      // another instance has its address
+	restartingUntil   time.Time // set by a refused connection, cleared by an answer
+	lastColdRequest   time.Time // last request of this VM while the target was cold
+	coldSenderVersion uint64    // fleetVersion for which coldSender was computed; 0: none
+	coldSender        bool      // this VM may send to the target while it is cold
+	lastRequest       time.Time // last request of this VM or another of the region
+	objects           objects
+	slowness          slowness
 }
 
-// busy estimates the target's running and queued requests. Its own report and the
-// region's usage count the same requests, each incompletely, so that the larger one is
-// taken.
-func (t *targetState) busy(now time.Time) int { return t.own + max(t.shared, t.othersAt(now)) }
-
-// othersAt estimates the requests of others by the last load report, which decays after
-// its TTL so that the target is tried again.
-func (t *targetState) othersAt(now time.Time) int {
-	over := now.Sub(t.reported) - t.reportTTL
-	if over <= 0 || t.others == 0 {
-		return t.others
+// load estimates the number of running and queued requests at the target. The target's load
+// reports and those of the region's VMs count the same requests, each incompletely, so the
+// larger number is used.
+func (t *targetState) load(now time.Time) int {
+	return t.ownRequests + max(t.peerRequests, t.decayedReport(now))
+}
+
+// decayedReport estimates the requests of other VMs by the target's last load report. The
+// number decays exponentially after the report's TTL, so that the target is tried again.
+func (t *targetState) decayedReport(now time.Time) int {
+	overdue := now.Sub(t.reportedAt) - t.reportTTL
+	if overdue <= 0 || t.reportedRequests == 0 {
+		return t.reportedRequests
 	}
-	return int(math.Round(float64(t.others) * math.Exp(-float64(over)/float64(t.reportTTL))))
+	return int(math.Round(float64(t.reportedRequests) * math.Exp(-float64(overdue)/float64(t.reportTTL))))
 }
 
-// report applies a load report, at which own requests of this VM were running.
-func (t *targetState) report(load *edge.Load, own int, ttl time.Duration, now time.Time) {
-	t.others = max(0, load.Running+load.Waiting-own)
-	t.reported = now
+// applyReport applies a load report that includes own requests of this VM.
+func (t *targetState) applyReport(load *edge.Load, own int, ttl time.Duration, now time.Time) {
+	t.reportedRequests = max(0, load.Running+load.Waiting-own)
+	t.reportedAt = now
 	t.reportTTL = ttl
 }
 
-// reportAge is the age of the last load report; -1 ms if there is none.
+// reportAge returns the age of the last load report; -1 ms if there is none.
 func (t *targetState) reportAge(now time.Time) time.Duration {
-	if t.reported.IsZero() {
+	if t.reportedAt.IsZero() {
 		return -time.Millisecond
 	}
-	return now.Sub(t.reported)
+	return now.Sub(t.reportedAt)
 }
 
-// endedTTL is how long a target that refused a connection is expected to restart under
-// its old entry.
-const endedTTL = 10 * time.Second
+// restartTTL is how long a target that refused a connection is taken to be restarting. The
+// new process may answer under the old entry for that time.
+const restartTTL = 10 * time.Second
 
-// cold reports whether the target bears few requests only. One that had ended is taken
-// for cold before its new entry arrives.
+// cold reports whether the target has started so recently that its request rate is limited.
+// A target that refused a connection counts as cold before its new entry arrives.
 func (t *targetState) cold(now time.Time) bool {
-	return now.Before(t.coldUntil) || now.Before(t.endedUntil)
+	return now.Before(t.coldUntil) || now.Before(t.restartingUntil)
 }
 
-// answered records a successful answer.
-func (t *targetState) answered(coldTime time.Duration, now time.Time) {
-	if now.Before(t.endedUntil) {
-		t.coldUntil = later(t.coldUntil, now.Add(coldTime))
+// recordSuccess records a successful answer. After a refused connection it comes from a new
+// process, which is cold from now on.
+func (t *targetState) recordSuccess(coldDuration time.Duration, now time.Time) {
+	if now.Before(t.restartingUntil) {
+		t.coldUntil = later(t.coldUntil, now.Add(coldDuration))
 	}
-	t.endedUntil = time.Time{}
+	t.restartingUntil = time.Time{}
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -97,17 +101,18 @@
 	return b
 }
 
-// maxRequests bounds the requests at the target, running and queued.
+// maxRequests returns the maximum number of requests at the target, running and queued.
 func (t *targetState) maxRequests() int {
 	return int(math.Ceil(float64(t.Slots) * (1 + maxQueuedPerSlot)))
 }
 
-// usable reports whether the target may get any request at all.
+// usable reports whether the target may get requests now.
 func (t *targetState) usable(now time.Time) bool {
-	return t.inService() && t.notice.accepting(now) && !now.Before(t.barredUntil)
+	return t.inService() && t.notice.accepting(now) && !now.Before(t.ejectedUntil)
 }
 
-// inService reports whether the target is to get requests, backoffs aside.
+// inService reports whether the target may get requests, now or after a backoff or an
+// ejection.
 func (t *targetState) inService() bool {
-	return !t.Leaving && !t.evacuated && !t.gone && !t.notice.leaving
+	return !t.Leaving && !t.evacuated && !t.replaced && !t.notice.leaving
 }
--- a/internal/placement/timing.go
+++ b/internal/placement/timing.go
@@ -5,89 +5,94 @@
 	"time"
 )
 
-// smoothing is the weight of a new measurement in a mean.
-const smoothing = 0.1
+// meanWeight is the weight of a new measurement in a movingAverage.
+const meanWeight = 0.1
 
-// mean is an exponentially weighted moving average; zero: not measured.
-type mean time.Duration
+// movingAverage is an exponentially weighted moving average; 0: not measured.
+type movingAverage time.Duration
 
-func (m *mean) observe(d time.Duration) {
+func (m *movingAverage) observe(d time.Duration) {
 	if *m == 0 {
-		*m = mean(d)
+		*m = movingAverage(d)
 		return
 	}
-	*m += mean(smoothing * float64(mean(d)-*m))
+	*m += movingAverage(meanWeight * float64(movingAverage(d)-*m))
 }
 
-// freshRatio is the multiple of a warm run from which the object was new to the target.
-const freshRatio = 1.8
+// uncachedRatio is the ratio of a run time to the mean of cached runs at and above which the
+// object is assumed not to have been in the target's cache.
+const uncachedRatio = 1.8
 
-// runTimes holds run times of a service at targets that know the object and at others.
-// Whether another VM has sent the object there before shows in the run time; its
-// frequency is recorded by rank.
+// runTimes holds the mean run times of a service's requests, by whether the target has the
+// object in its cache. This VM knows which objects it has sent to a target itself; that
+// another VM had sent an object there is inferred from a short run time.
 type runTimes struct {
-	warm   mean              // the target knew the object
-	fresh  mean              // it did not
-	shared [replicas]float64 // how often others had sent the object, by rank
+	cached         movingAverage     // the object was cached at the target
+	uncached       movingAverage     // the object was not cached
+	cachedByOthers [replicas]float64 // share of objects new to this VM that were cached, by rank
 }
 
-// observe records a run at a target of the given rank.
+// observe records a run at the target of the given rank. known reports whether this VM has
+// sent the object there before.
 func (r *runTimes) observe(known bool, rank int, d time.Duration) {
 	if known {
-		r.warm.observe(d)
+		r.cached.observe(d)
 		return
 	}
 	rank = min(rank, replicas-1)
-	if r.warm != 0 && float64(d) < freshRatio*float64(r.warm) {
-		r.warm.observe(d)
-		r.shared[rank] += smoothing * (1 - r.shared[rank])
+	if r.cached != 0 && float64(d) < uncachedRatio*float64(r.cached) {
+		r.cached.observe(d)
+		r.cachedByOthers[rank] += meanWeight * (1 - r.cachedByOthers[rank])
 		return
 	}
-	r.fresh.observe(d)
-	r.shared[rank] -= smoothing * r.shared[rank]
+	r.uncached.observe(d)
+	r.cachedByOthers[rank] -= meanWeight * r.cachedByOthers[rank]
 }
 
-// expect returns the expected run time. A missing mean is taken from the other.
+// expect returns the expected run time at the target of the given rank. If only one mean has
+// been measured, it is used for both; 0 if none has.
 func (r *runTimes) expect(known bool, rank int) time.Duration {
-	warm := time.Duration(r.warm)
-	if warm == 0 {
-		warm = time.Duration(r.fresh)
+	cached := time.Duration(r.cached)
+	if cached == 0 {
+		cached = time.Duration(r.uncached)
 	}
 	if known {
-		return warm
+		return cached
 	}
-	fresh := max(time.Duration(r.fresh), warm)
+	uncached := max(time.Duration(r.uncached), cached)
 	rank = min(rank, replicas-1)
-	return fresh - time.Duration(r.shared[rank]*float64(fresh-warm))
+	return uncached - time.Duration(r.cachedByOthers[rank]*float64(uncached-cached))
 }
 
-// Bounds of slowness.
 const (
+	// maxSlowness is the upper bound of a measured ratio, and 1/maxSlowness the lower bound.
 	maxSlowness = 20.0
-	// slownessTTL is the time constant of decay, so that a slow target is tried again.
-	slownessTTL = 4 * time.Second
+	// slownessDecay is the time constant by which slowness decays to 1, so that a slow
+	// target is tried again.
+	slownessDecay = 4 * time.Second
 )
 
-// slowness is a target's run time relative to its service's.
+// slowness is the ratio of a target's run times to those of the whole service.
 type slowness struct {
-	factor float64 // 0: not measured
-	at     time.Time
+	factor     float64 // 0: not measured
+	measuredAt time.Time
 }
 
-// observe records the ratio of a run time to the expected one.
+// observe records the ratio of a run time to the expected run time.
 func (s *slowness) observe(ratio float64, now time.Time) {
 	ratio = min(max(ratio, 1/maxSlowness), maxSlowness)
-	s.factor = s.now(now) + slownessSmoothing*(ratio-s.now(now))
-	s.at = now
+	s.factor = s.factorAt(now) + slownessWeight*(ratio-s.factorAt(now))
+	s.measuredAt = now
 }
 
-// slownessSmoothing exceeds smoothing, so that few answers show a slow target.
-const slownessSmoothing = 0.25
+// slownessWeight is the weight of a new measurement in slowness. It exceeds meanWeight, so
+// that a slow target is detected after a few answers.
+const slownessWeight = 0.25
 
-// now returns the factor, which decays to 1.
-func (s *slowness) now(at time.Time) float64 {
+// factorAt returns the factor at a time; 1 if none has been measured.
+func (s *slowness) factorAt(at time.Time) float64 {
 	if s.factor == 0 {
 		return 1
 	}
-	return 1 + (s.factor-1)*math.Exp(-float64(at.Sub(s.at))/float64(slownessTTL))
+	return 1 + (s.factor-1)*math.Exp(-float64(at.Sub(s.measuredAt))/float64(slownessDecay))
 }
--- a/internal/placement/usage_test.go
+++ b/internal/placement/usage_test.go
@@ -19,7 +19,7 @@
 	"masticturn/internal/telemetry"
 )
 
-// usageOf is the usage of one target.
+// usageOf returns a usage of one target.
 func usageOf(t *targetState, running int, objects ...string) *Usage {
 	u := newUsage()
 	u.Running[t.id] = running
@@ -29,81 +29,82 @@
 	return u
 }
 
-// The region's total counts, less this VM's own share, until the next one or its TTL.
+// The region's total, less this VM's own requests, counts until the next total or its TTL.
 func TestReceivedUsageCounts(t *testing.T) {
-	const life = time.Second
-	p, _ := newTestPool(t, "ros", site{perRegion: map[string]int{"ros": 1}, slots: 3})
-	placed := mustChoose(t, p, ask("a"), start)
-	p.Acquire(placed, start)
+	const ttl = time.Second
+	p, _ := newTestPool(t, "ros", targetLayout{perRegion: map[string]int{"ros": 1}, slots: 3})
+	sel := mustChoose(t, p, newRequest("a"), start)
+	p.Acquire(sel, start)
 	p.ReportUsage()
-	at := placed.target
+	target := sel.target
 	steps := []struct {
 		after time.Duration
-		use   *Usage // nil: no report, the usage may expire
-		want  int    // with this VM's
+		total *Usage // nil: no total is received
+		want  int    // load, including this VM's request
 	}{
-		{0, usageOf(at, 3), 3},
-		{ReportInterval, usageOf(at, 5), 5},
-		{2 * ReportInterval, usageOf(at, 1), 1},
-		{3 * ReportInterval, usageOf(at, 100), 1 + at.maxRequests()},
-		{4 * ReportInterval, usageOf(at, 2), 2},
-		{4*ReportInterval + life - 1, nil, 2},
-		{4*ReportInterval + life, nil, 1},
+		{0, usageOf(target, 3), 3},
+		{ReportInterval, usageOf(target, 5), 5},
+		{2 * ReportInterval, usageOf(target, 1), 1},
+		{3 * ReportInterval, usageOf(target, 100), 1 + target.maxRequests()},
+		{4 * ReportInterval, usageOf(target, 2), 2},
+		{4*ReportInterval + ttl - 1, nil, 2},
+		{4*ReportInterval + ttl, nil, 1},
 	}
 	for i, s := range steps {
 		now := start.Add(s.after)
-		if s.use != nil {
-			p.ApplyUsage(s.use, life, now)
+		if s.total != nil {
+			p.ApplyUsage(s.total, ttl, now)
 		}
 		p.expireUsage(now)
-		if got := at.busy(now); got != s.want {
-			t.Errorf("step %d: %d requests are believed at the target, want %d", i, got, s.want)
+		if got := target.load(now); got != s.want {
+			t.Errorf("step %d: the load is %d, want %d", i, got, s.want)
 		}
 	}
 }
 
-// The target's report and the region's usage overlap: the larger one counts.
-func TestLargerReportCounts(t *testing.T) {
-	for _, tt := range []struct{ told, heard, want int }{{0, 0, 0}, {2, 0, 2}, {0, 2, 2}, {2, 3, 3}, {3, 2, 3}} {
-		p, _ := newTestPool(t, "ros", site{perRegion: map[string]int{"ros": 1}, slots: 3})
-		at := mustChoose(t, p, ask("a"), start).target
-		at.others, at.reported, at.reportTTL = tt.told, start, minReportTTL
-		p.ApplyUsage(usageOf(at, tt.heard), time.Second, start)
-		if got := at.busy(start); got != tt.want {
-			t.Errorf("the target told of %d, the VMs of %d: %d are believed, want %d", tt.told, tt.heard, got, tt.want)
+// The target's load report and the region's usage count the same requests: the larger number
+// is used.
+func TestLargerLoadEstimateCounts(t *testing.T) {
+	for _, tt := range []struct{ reported, received, want int }{{0, 0, 0}, {2, 0, 2}, {0, 2, 2}, {2, 3, 3}, {3, 2, 3}} {
+		p, _ := newTestPool(t, "ros", targetLayout{perRegion: map[string]int{"ros": 1}, slots: 3})
+		target := mustChoose(t, p, newRequest("a"), start).target
+		target.reportedRequests, target.reportedAt, target.reportTTL = tt.reported, start, minReportTTL
+		p.ApplyUsage(usageOf(target, tt.received), time.Second, start)
+		if got := target.load(start); got != tt.want {
+			t.Errorf("reported by the target %d, by VMs %d: the load is %d, want %d", tt.reported, tt.received, got, tt.want)
 		}
 	}
 }
 
-// Each new object is reported once, a running request in every report.
+// A new object is reported once, a running request in every report.
 func TestNewObjectsReportedOnce(t *testing.T) {
-	p, _ := newTestPool(t, "ros", estiba)
-	at := mustChoose(t, p, ask("a"), start)
-	p.Acquire(at, start)
-	id := at.target.id
+	p, _ := newTestPool(t, "ros", threeRegions)
+	sel := mustChoose(t, p, newRequest("a"), start)
+	p.Acquire(sel, start)
+	id := sel.target.id
 	first := p.ReportUsage()
 	if first.Running[id] != 1 || len(first.Objects[id]) != 1 {
-		t.Errorf("the first word is %+v, want one request and one object", first)
+		t.Errorf("the first report is %+v, want one request and one object", first)
 	}
 	if second := p.ReportUsage(); second.Running[id] != 1 || len(second.Objects) != 0 {
-		t.Errorf("the second word is %+v, want one request and no object", second)
+		t.Errorf("the second report is %+v, want one request and no object", second)
 	}
-	finish(p, at, 100*time.Millisecond, start)
+	complete(p, sel, 100*time.Millisecond, start)
 	if third := p.ReportUsage(); !third.Empty() {
-		t.Errorf("the third word is %+v, want nothing", third)
+		t.Errorf("the third report is %+v, want an empty one", third)
 	}
-	other, _ := newTestPool(t, "ros", estiba)
-	other.ApplyUsage(first, time.Second, start)
-	if again := mustChoose(t, other, ask("a"), start); !again.known {
-		t.Error("the other VM does not know that the target knows the object")
+	otherVM, _ := newTestPool(t, "ros", threeRegions)
+	otherVM.ApplyUsage(first, time.Second, start)
+	if again := mustChoose(t, otherVM, newRequest("a"), start); !again.known {
+		t.Error("the object is not known to the other VM")
 	}
-	other.Acquire(mustChoose(t, other, ask("a"), start), start)
-	if u := other.ReportUsage(); len(u.Objects) != 0 {
-		t.Errorf("the other VM tells on what it was told: %+v", u.Objects)
+	otherVM.Acquire(mustChoose(t, otherVM, newRequest("a"), start), start)
+	if u := otherVM.ReportUsage(); len(u.Objects) != 0 {
+		t.Errorf("the other VM reports an object that it received: %+v", u.Objects)
 	}
 }
 
-// fixedViews is an unchanging catalog.
+// fixedViews implements ViewSource with a view that does not change.
 type fixedViews struct{ view *discovery.View }
 
 func (f fixedViews) View() *discovery.View { return f.view }
@@ -111,16 +112,17 @@
 	return func() {}
 }
 
-// fixedMembers is an unchanging member list.
+// fixedMembers implements membership.Source with a member list that does not change.
 type fixedMembers struct{ view *membership.View }
 
 func (f fixedMembers) View() *membership.View                  { return f.view }
 func (f fixedMembers) Subscribe(func(*membership.View)) func() { return func() {} }
 
-// regionOfVMs starts admitters of the VMs of one region over a hub, and one of another region.
-func regionOfVMs(t *testing.T, size int) (*peertest.Hub, *config.ServiceIndex, map[string]*Admitter) {
+// startVMs starts the admitters of size VMs of one region and of one VM, far, of another. They
+// are connected by a hub.
+func startVMs(t *testing.T, size int) (*peertest.Hub, *config.ServiceIndex, map[string]*Admitter) {
 	t.Helper()
-	view, svc := site{perRegion: map[string]int{"ros": 40, "bb": 1}, slots: 4}.view(t)
+	view, svc := targetLayout{perRegion: map[string]int{"ros": 40, "bb": 1}, slots: 4}.view(t)
 	hub := peertest.NewHub(1)
 	members := &membership.View{Members: []membership.Member{{Name: "far", Region: "bb", State: membership.Alive}}}
 	for i := range size {
@@ -146,7 +148,7 @@
 	return hub, svc, vms
 }
 
-// acquire places requests for different objects at a VM.
+// acquire places n requests for different objects at a VM.
 func acquire(t *testing.T, a *Admitter, svc *config.ServiceIndex, n int) []admission.Permit {
 	t.Helper()
 	var permits []admission.Permit
@@ -169,28 +171,28 @@
 	return p
 }
 
-// receivedUsage sums up the others' requests that a VM received.
+// receivedUsage returns the number of other VMs' requests that a VM knows by load reports.
 func receivedUsage(a *Admitter) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
 	for _, p := range a.pools {
-		for _, target := range p.order {
-			n += target.shared
+		for _, target := range p.sortedTargets {
+			n += target.peerRequests
 		}
 	}
 	return n
 }
 
-func TestVMsOfARegionShareUsage(t *testing.T) {
+func TestVMsOfRegionShareUsage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, svc, vms := regionOfVMs(t, 3)
+		_, svc, vms := startVMs(t, 3)
 		permits := acquire(t, vms["vm-000"], svc, 5)
 		time.Sleep(4 * ReportInterval)
 		synctest.Wait()
 		for name, want := range map[string]int{"vm-000": 0, "vm-001": 5, "vm-002": 5, "far": 0} {
 			if got := receivedUsage(vms[name]); got != want {
-				t.Errorf("%s was told of %d requests, want %d", name, got, want)
+				t.Errorf("%s received a usage of %d requests, want %d", name, got, want)
 			}
 		}
 		for _, p := range permits {
@@ -199,26 +201,27 @@
 		time.Sleep(4 * ReportInterval)
 		synctest.Wait()
 		if got := receivedUsage(vms["vm-001"]); got != 0 {
-			t.Errorf("%d requests that have ended are believed to run", got)
+			t.Errorf("%d requests that have ended still count", got)
 		}
 	})
 }
 
-func TestUseOfADeadVMIsForgotten(t *testing.T) {
+func TestUsageOfDisconnectedVMExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		hub, svc, vms := regionOfVMs(t, 2)
+		hub, svc, vms := startVMs(t, 2)
 		acquire(t, vms["vm-000"], svc, 5)
 		time.Sleep(4 * ReportInterval)
 		hub.Cut("vm-000", "vm-001")
-		time.Sleep(2 * ttlIntervals * ReportInterval) // of its word, and of the sum with it
+		time.Sleep(2 * reportTTLIntervals * ReportInterval) // TTL of its report, and of the total that includes it
 		synctest.Wait()
 		if got := receivedUsage(vms["vm-001"]); got != 0 {
-			t.Errorf("%d requests of a VM that is silent are believed to run", got)
+			t.Errorf("%d requests of a disconnected VM still count", got)
 		}
 	})
 }
 
-// Reports cost nothing when idle, and less than a daemon's control budget at all sizes.
+// Idle VMs send no reports. At all sizes of a region, reports take less than a VM's budget for
+// control traffic.
 func TestReportRateIsBounded(t *testing.T) {
 	const (
 		budget  = 14_000 // of control traffic, bytes/s
@@ -227,7 +230,7 @@
 	)
 	for _, tt := range []struct{ vms, running, most int }{{28, 0, 0}, {28, 12, budget}, {65, 12, budget}, {155, 12, budget}} {
 		synctest.Test(t, func(t *testing.T) {
-			hub, svc, vms := regionOfVMs(t, tt.vms)
+			hub, svc, vms := startVMs(t, tt.vms)
 			for name, a := range vms {
 				if name != "far" {
 					acquire(t, a, svc, tt.running)
@@ -239,9 +242,9 @@
 			after := hub.Stats()
 			bytes := after.Bytes - before.Bytes + framing*(after.Messages-before.Messages)
 			perVM := bytes / tt.vms / seconds
-			t.Logf("%d VMs with %d requests each: %d bytes/s a VM", tt.vms, tt.running, perVM)
+			t.Logf("%d VMs with %d requests each: %d bytes/s per VM", tt.vms, tt.running, perVM)
 			if perVM > tt.most {
-				t.Errorf("%d VMs with %d requests each: %d bytes/s a VM, want %d at most", tt.vms, tt.running, perVM, tt.most)
+				t.Errorf("%d VMs with %d requests each: %d bytes/s per VM, want %d at most", tt.vms, tt.running, perVM, tt.most)
 			}
 		})
 	}
