--- a/internal/command/bench_placement.go
+++ b/internal/command/bench_placement.go
@@ -74,7 +74,7 @@
 // placementPolicy returns the policy of a name given on the command line.
 func placementPolicy(name string) (placement.Policy, error) {
 	policy := placement.Policy(name)
-	if !policy.Known() {
+	if !policy.Valid() {
 		return "", usageError(trace.BadParameter("--%s %s: known are %s", flagPolicy, name, placementPolicyNames()))
 	}
 	return policy, nil
--- a/internal/placement/admitter.go
+++ b/internal/placement/admitter.go
@@ -66,7 +66,7 @@
 type servicePool struct {
 	*Pool
 	name           string
-	waiters        map[*Waiting]chan struct{} // closed when the request is placed or refused
+	waiters        map[*WaitingRequest]chan struct{} // closed when the request is placed or refused
 	serveScheduled bool
 }
 
@@ -152,7 +152,7 @@
 					Rand:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 				}),
 				name:    svc.Name,
-				waiters: make(map[*Waiting]chan struct{}),
+				waiters: make(map[*WaitingRequest]chan struct{}),
 			}
 			p.SetFleet(a.fleet)
 			a.pools[svc.Name] = p
@@ -175,7 +175,7 @@
 
 // scheduleServe schedules the next serving of the queue if requests wait. a.mu is held.
 func (a *Admitter) scheduleServe(p *servicePool) {
-	if p.serveScheduled || p.Queued() == 0 {
+	if p.serveScheduled || p.QueueLen() == 0 {
 		return
 	}
 	p.serveScheduled = true
@@ -217,12 +217,12 @@
 
 // admit enqueues a request and serves the queue. The returned channel is closed when the
 // request is decided; it is nil if that has happened already.
-func (a *Admitter) admit(svc *config.ServiceIndex, req *Request) (*servicePool, *Waiting, <-chan struct{}) {
+func (a *Admitter) admit(svc *config.ServiceIndex, req *Request) (*servicePool, *WaitingRequest, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	p := a.pools[svc.Name]
 	if p == nil {
-		return nil, &Waiting{Request: req, Refused: &Refusal{Reason: reasonNoTarget, RetryAfter: unknownRetryAfter}}, nil
+		return nil, &WaitingRequest{Request: req, Refused: &Refusal{Reason: reasonNoTarget, RetryAfter: unknownRetryAfter}}, nil
 	}
 	now := a.deps.Clock.Now()
 	w := p.Enqueue(req, now)
@@ -236,7 +236,7 @@
 }
 
 // cancelWaiting cancels a waiting request. A request that has been placed keeps its slot.
-func (a *Admitter) cancelWaiting(p *servicePool, w *Waiting) {
+func (a *Admitter) cancelWaiting(p *servicePool, w *WaitingRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if p.Cancel(w) {
@@ -340,13 +340,13 @@
 
 func toResult(r *admission.Result) Result {
 	return Result{
-		Load:        r.Load,
-		Connect:     r.Connect,
-		Latency:     r.Latency,
-		Failed:      r.Outcome != outcome.Answered || r.Status >= http.StatusInternalServerError,
-		Shed:        r.ShedByPeer && !r.Misdirected,
-		Misdirected: r.Misdirected,
-		Ended:       r.NoListener,
-		Canceled:    r.Canceled,
+		Load:              r.Load,
+		Connect:           r.Connect,
+		Latency:           r.Latency,
+		Failed:            r.Outcome != outcome.Answered || r.Status >= http.StatusInternalServerError,
+		Shed:              r.ShedByPeer && !r.Misdirected,
+		Misdirected:       r.Misdirected,
+		ConnectionRefused: r.NoListener,
+		Canceled:          r.Canceled,
 	}
 }
--- a/internal/placement/aggregator.go
+++ b/internal/placement/aggregator.go
@@ -166,9 +166,9 @@
 	return OutgoingReport{r, []string{a.position.Parent}, false}
 }
 
-// ChildrenBelow returns the children to which a total received from a VM is forwarded; false
+// TotalRecipients returns the children to which a total received from a VM is forwarded; false
 // if that VM is not the parent.
-func (a *Aggregator) ChildrenBelow(from string) ([]string, bool) {
+func (a *Aggregator) TotalRecipients(from string) ([]string, bool) {
 	return a.position.Children, from != "" && from == a.position.Parent
 }
 
--- a/internal/placement/emulation/reporting.go
+++ b/internal/placement/emulation/reporting.go
@@ -50,7 +50,7 @@
 
 // forwardTotal delivers the total to a child.
 func (r *run) forwardTotal(from, to *vm, report *placement.LoadReport) {
-	children, ok := to.aggregator.ChildrenBelow(from.name)
+	children, ok := to.aggregator.TotalRecipients(from.name)
 	if !ok {
 		return
 	}
--- a/internal/placement/emulation/requests.go
+++ b/internal/placement/emulation/requests.go
@@ -80,7 +80,7 @@
 			r.refused(q)
 		}
 	}
-	if v.ticking || v.pool.Queued() == 0 {
+	if v.ticking || v.pool.QueueLen() == 0 {
 		return
 	}
 	v.ticking = true
@@ -127,7 +127,7 @@
 	}
 	t := y.target
 	if t.down {
-		r.after(r.delay(t.region, y.req.region), func() { r.broken(y, placement.Result{Failed: true, Ended: true}) })
+		r.after(r.delay(t.region, y.req.region), func() { r.broken(y, placement.Result{Failed: true, ConnectionRefused: true}) })
 		return
 	}
 	t.arrivals++
--- a/internal/placement/emulation/run.go
+++ b/internal/placement/emulation/run.go
@@ -26,7 +26,7 @@
 	windowLength = 2 * time.Second
 )
 
-type place = *placement.Waiting
+type place = *placement.WaitingRequest
 
 // vm is an emulated VM of the fleet.
 type vm struct {
--- a/internal/placement/instance_test.go
+++ b/internal/placement/instance_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("the new instance has state of the old one: %+v, load %d", sel, sel.target.load(now))
 	}
 	// Late results and usage of the old instance do not apply to the new one.
-	s.pool.Release(running, Result{Failed: true, Misdirected: true, Ended: true}, now)
+	s.pool.Release(running, Result{Failed: true, Misdirected: true, ConnectionRefused: true}, now)
 	s.pool.ApplyUsage(&Usage{Running: map[uint32]int{shortID("i@1"): 6}, Objects: map[uint32][]string{shortID("i@1"): {"c"}}}, time.Second, now)
 	sel = mustChoose(t, s.pool, newRequest("a"), now)
 	if sel.target.load(now) != 0 || sel.target.objects.known("c") || sel.target.cold(now) {
@@ -93,7 +93,7 @@
 func TestRestartedTargetIsCold(t *testing.T) {
 	s := newSingleTarget(t, "i")
 	now := start
-	s.pool.Release(s.acquire("a", now), Result{Failed: true, Ended: true}, now)
+	s.pool.Release(s.acquire("a", now), Result{Failed: true, ConnectionRefused: true}, now)
 	if sent := s.countRequests(now, time.Second); sent != 1 {
 		t.Errorf("%d requests within a second to a target that refused a connection, want 1", sent)
 	}
@@ -111,7 +111,7 @@
 // for good. It gets no answer that shows the restart, so it retries after restartTTL.
 func TestRestartedTargetIsRetriedByAllVMs(t *testing.T) {
 	s := newSingleTarget(t, "i")
-	s.pool.Release(s.acquire("a", start), Result{Failed: true, Ended: true}, start)
+	s.pool.Release(s.acquire("a", start), Result{Failed: true, ConnectionRefused: true}, start)
 	s.pool.SetFleet(Fleet{Self: "vm"})
 	if s.pool.Choose(newRequest("a"), start.Add(time.Second)) != nil {
 		t.Fatal("a VM without a member list chose a target that may be cold")
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -43,8 +43,8 @@
 	return []Policy{PolicyCompletion, PolicyHashing, PolicyHashingRegions, PolicyLeastLoaded, PolicyPowerOfTwo}
 }
 
-// Known reports whether the policy exists.
-func (p Policy) Known() bool { return chooseFuncs[p] != nil }
+// Valid reports whether the policy exists.
+func (p Policy) Valid() bool { return chooseFuncs[p] != nil }
 
 // chooseHashing implements PolicyHashing.
 func (p *Pool) chooseHashing(req *Request, now time.Time) *Selection {
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -72,7 +72,7 @@
 	roundTrips   map[string]movingAverage // round-trip time by region
 	remoteWeight float64                  // weight of a slot in another region
 	objective    time.Duration            // shortest objective of any request; 0: none
-	queue        []*Waiting               // in the order in which it is served
+	queue        []*WaitingRequest        // in the order in which it is served
 	ranking      rankingCache
 
 	notices      notices
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -35,8 +35,8 @@
 	reasonCanceled   = "the caller left or its time was over"
 )
 
-// Waiting is a request in the queue and the decision on it.
-type Waiting struct {
+// WaitingRequest is a request in the queue and the decision on it.
+type WaitingRequest struct {
 	Request   *Request
 	waitUntil time.Time // the request is refused at this time
 	Selected  *Selection
@@ -44,18 +44,18 @@
 }
 
 // decided reports whether the request was placed or refused.
-func (w *Waiting) decided() bool { return w.Selected != nil || w.Refused != nil }
+func (w *WaitingRequest) decided() bool { return w.Selected != nil || w.Refused != nil }
 
 // Enqueue adds a request to the queue in order of priority and arrival. Serve decides on it.
 // A request that has no usable target, or would wait too long, is refused at once.
-func (p *Pool) Enqueue(req *Request, now time.Time) *Waiting {
+func (p *Pool) Enqueue(req *Request, now time.Time) *WaitingRequest {
 	p.recordObjective(req)
-	w := &Waiting{Request: req, waitUntil: p.waitUntil(req)}
+	w := &WaitingRequest{Request: req, waitUntil: p.waitUntil(req)}
 	if !p.hasUsableTarget(req, now) {
 		w.Refused = p.refuseNoTarget(req, now)
 		return w
 	}
-	i, _ := slices.BinarySearchFunc(p.queue, req, func(x *Waiting, req *Request) int {
+	i, _ := slices.BinarySearchFunc(p.queue, req, func(x *WaitingRequest, req *Request) int {
 		if servedBefore(req, x.Request) {
 			return 1
 		}
@@ -149,8 +149,8 @@
 
 // Serve goes through the queue in order and places or refuses requests. It returns the
 // decided ones.
-func (p *Pool) Serve(now time.Time) []*Waiting {
-	var done []*Waiting
+func (p *Pool) Serve(now time.Time) []*WaitingRequest {
+	var done []*WaitingRequest
 	for _, w := range p.queue {
 		if sel := p.Choose(w.Request, now); sel != nil {
 			p.Acquire(sel, now)
@@ -165,20 +165,20 @@
 		}
 	}
 	if done != nil {
-		p.queue = slices.DeleteFunc(p.queue, (*Waiting).decided)
+		p.queue = slices.DeleteFunc(p.queue, (*WaitingRequest).decided)
 	}
 	return done
 }
 
 // Cancel removes a request from the queue. It returns false if the request has been decided.
-func (p *Pool) Cancel(w *Waiting) bool {
+func (p *Pool) Cancel(w *WaitingRequest) bool {
 	if w.decided() {
 		return false
 	}
 	w.Refused = &Refusal{Reason: reasonCanceled}
-	p.queue = slices.DeleteFunc(p.queue, (*Waiting).decided)
+	p.queue = slices.DeleteFunc(p.queue, (*WaitingRequest).decided)
 	return true
 }
 
-// Queued returns the length of the queue.
-func (p *Pool) Queued() int { return len(p.queue) }
+// QueueLen returns the length of the queue.
+func (p *Pool) QueueLen() int { return len(p.queue) }
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -18,7 +18,7 @@
 }
 
 // enqueueAndServe enqueues a request and serves the queue.
-func enqueueAndServe(p *Pool, req *Request, now time.Time) *Waiting {
+func enqueueAndServe(p *Pool, req *Request, now time.Time) *WaitingRequest {
 	w := p.Enqueue(req, now)
 	p.Serve(now)
 	return w
@@ -45,7 +45,7 @@
 	second := enqueueAndServe(p, newTimedRequest("second", 1, start.Add(2*time.Millisecond)), start.Add(2*time.Millisecond))
 	first := enqueueAndServe(p, newTimedRequest("first", 1, start.Add(time.Millisecond)), start.Add(2*time.Millisecond))
 	now := start.Add(10 * time.Millisecond)
-	for i, want := range []*Waiting{first, second, late} {
+	for i, want := range []*WaitingRequest{first, second, late} {
 		complete(p, running[i], 10*time.Millisecond, now)
 		done := p.Serve(now)
 		if len(done) != 1 || done[0] != want {
@@ -53,8 +53,8 @@
 		}
 		running = append(running, want.Selected)
 	}
-	if p.Queued() != 0 {
-		t.Errorf("%d requests are still waiting", p.Queued())
+	if p.QueueLen() != 0 {
+		t.Errorf("%d requests are still waiting", p.QueueLen())
 	}
 }
 
@@ -162,13 +162,13 @@
 	p.runTimes = runTimes{cached: movingAverage(run), uncached: movingAverage(run)}
 	type runningRequest struct {
 		endsAt time.Time
-		w      *Waiting
+		w      *WaitingRequest
 	}
 	var running []runningRequest
 	inTime, requested := map[int]int{}, map[int]int{}
 	lateAnswers := 0
 	slotFreeAt := map[string][]time.Time{} // time at which each slot of a target is free
-	addRunning := func(w *Waiting, now time.Time) {
+	addRunning := func(w *WaitingRequest, now time.Time) {
 		name := w.Selected.index.Name
 		if slotFreeAt[name] == nil {
 			slotFreeAt[name] = []time.Time{now, now}
--- a/internal/placement/release.go
+++ b/internal/placement/release.go
@@ -23,14 +23,14 @@
 
 // Result is the result of a request at a target.
 type Result struct {
-	Load        *edge.Load    // load reported by the target; nil: none
-	Connect     time.Duration // time to open a connection; 0: none was opened
-	Latency     time.Duration // from sending to the end of the answer
-	Failed      bool          // the connection or the answer failed
-	Shed        bool          // the target refused it because it was full
-	Misdirected bool          // another instance has the target's address
-	Ended       bool          // the connection was refused
-	Canceled    bool          // canceled by the caller; says nothing about the target's health
+	Load              *edge.Load    // load reported by the target; nil: none
+	Connect           time.Duration // time to open a connection; 0: none was opened
+	Latency           time.Duration // from sending to the end of the answer
+	Failed            bool          // the connection or the answer failed
+	Shed              bool          // the target refused it because it was full
+	Misdirected       bool          // another instance has the target's address
+	ConnectionRefused bool          // the connection was refused
+	Canceled          bool          // canceled by the caller; says nothing about the target's health
 }
 
 // shedEjection returns how long a full target is ejected: about the time until one of its
@@ -50,7 +50,7 @@
 	if r.Connect > 0 {
 		p.recordRoundTrip(t.Region, r.Connect)
 	}
-	if r.Ended {
+	if r.ConnectionRefused {
 		t.restartingUntil = now.Add(restartTTL)
 	}
 	switch {
--- a/internal/placement/reporting.go
+++ b/internal/placement/reporting.go
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	a.mu.Lock()
-	children, ok := a.aggregator.ChildrenBelow(from)
+	children, ok := a.aggregator.TotalRecipients(from)
 	if ok {
 		a.applyTotal(&r, a.deps.Clock.Now())
 	}
