--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -95,28 +95,28 @@
 			PeerAddress:   self.PeerAddress,
 			CallerAddress: self.CallerAddress,
 		},
-		Seeded:  len(d.settings.Peers.Seeds) > 0,
-		Joined:  w.members.Ready,
-		Members: w.members,
-		Logger:  d.opts.Logger,
+		HasSeeds: len(d.settings.Peers.Seeds) > 0,
+		Joined:   w.members.Ready,
+		Members:  w.members,
+		Logger:   d.opts.Logger,
 	}), nil
 }
 
 func (d *Daemon) newDiscovery(w *wiring) (kernel.Service, error) {
 	s := discovery.NewService(discovery.Deps{
-		Store:      w.store,
-		Decoder:    d.opts.Hosted.Decoder,
-		Members:    w.members,
-		Network:    w.network,
-		Joined:     w.members.Ready,
-		FirstStart: d.settings.Peers.FirstStart,
-		Places:     d.settings.Places,
-		Bounds:     d.settings.Bounds,
-		Shares:     func() (config.Fleet, config.Retry) { return sharesOf(w.members.View(), d.settings.Bounds) },
-		Clock:      d.opts.Clock,
-		Boot:       d.opts.Boot,
-		Logger:     d.opts.Logger,
-		Metrics:    d.opts.Metrics,
+		Store:        w.store,
+		Decoder:      d.opts.Hosted.Decoder,
+		Members:      w.members,
+		Network:      w.network,
+		Joined:       w.members.Ready,
+		FirstStart:   d.settings.Peers.FirstStart,
+		RegionByZone: d.settings.Places,
+		Bounds:       d.settings.Bounds,
+		Shares:       func() (config.Fleet, config.Retry) { return sharesOf(w.members.View(), d.settings.Bounds) },
+		Clock:        d.opts.Clock,
+		Boot:         d.opts.Boot,
+		Logger:       d.opts.Logger,
+		Metrics:      d.opts.Metrics,
 	})
 	s.Subscribe(func(snap *config.Snapshot) { w.members.SetGeneration(uint64(snap.Generation), 0) })
 	return s, nil
@@ -259,12 +259,12 @@
 
 func (d *Daemon) newHostedDrain(w *wiring) (kernel.Service, error) {
 	return drain.NewService(drain.Deps{
-		Members: leaver{w.members, w.entry},
-		Callers: w.callers,
-		Config:  w.discovery,
-		Grace:   d.settings.Bounds.StopGrace,
-		Clock:   d.opts.Clock,
-		Logger:  d.opts.Logger,
+		Members:   leaver{w.members, w.entry},
+		Callers:   w.callers,
+		Config:    w.discovery,
+		StopGrace: d.settings.Bounds.StopGrace,
+		Clock:     d.opts.Clock,
+		Logger:    d.opts.Logger,
 	}), nil
 }
 
@@ -288,7 +288,7 @@
 	entry   *entry.Service
 }
 
-// Leave implements drain.Members.
+// Leave implements drain.Leaver.
 func (l leaver) Leave(ctx context.Context) error {
 	l.entry.Leave()
 	return l.members.Leave(ctx)
--- a/internal/daemon/modules.go
+++ b/internal/daemon/modules.go
@@ -147,7 +147,7 @@
 	}
 	out := make(map[platform.Kind]time.Duration)
 	for kind, t := range discovery.Timings(d.opts.Hosted.Decoder.Kinds(), d.settings.Bounds) {
-		out[kind] = t.Watch
+		out[kind] = t.WatchTimeout
 	}
 	return out
 }
@@ -236,13 +236,13 @@
 
 func (d *Daemon) newLookup(w *wiring) (kernel.Service, error) {
 	s := lookup.NewService(lookup.Deps{
-		Config:  w.config,
-		Members: w.members,
-		Home:    lookup.Place{Region: d.settings.VM.Region, Zone: d.settings.VM.Zone},
-		Tickets: w.keys,
-		Metrics: d.opts.Metrics,
+		Config:       w.config,
+		Members:      w.members,
+		DefaultPlace: lookup.Place{Region: d.settings.VM.Region, Zone: d.settings.VM.Zone},
+		Tickets:      w.keys,
+		Metrics:      d.opts.Metrics,
 	})
-	w.keys.Subscribe(s.Renew)
+	w.keys.Subscribe(s.DiscardAnswers)
 	return s, nil
 }
 
--- a/internal/discovery/calls_test.go
+++ b/internal/discovery/calls_test.go
@@ -156,7 +156,7 @@
 			own := *view
 			own.Self = m.Name
 			r := NewRegistrar(RegistrarDeps{
-				Seeded: true, Joined: func() bool { return joined }, Members: fixedMembers{&own},
+				HasSeeds: true, Joined: func() bool { return joined }, Members: fixedMembers{&own},
 			})
 			if r.isNeeded() {
 				n++
--- a/internal/discovery/catalog.go
+++ b/internal/discovery/catalog.go
@@ -123,7 +123,7 @@
 	if err == nil {
 		err = t.validate(c.regionByZone)
 	}
-	if err == nil && t.Born == 0 && c.latestStarts[o.Name] != 0 {
+	if err == nil && t.StartMS == 0 && c.latestStarts[o.Name] != 0 {
 		err = &FieldError{"start", "none", "a start time, because an earlier entry of this instance had one"}
 	}
 	if e := c.targets[o.Name]; e != nil {
@@ -144,24 +144,24 @@
 // cold time counts from the arrival of the entry. A target that starts while this VM watches is
 // cold for at least the service's cold time, as its entry may state less.
 func (c *catalog) setTarget(t Target, now time.Time) {
-	if t.Born < c.latestStarts[t.Instance] {
+	if t.StartMS < c.latestStarts[t.Instance] {
 		return
 	}
 	c.recordStart(&t)
 	e := c.targets[t.Instance]
-	if e != nil && e.Born == t.Born && t.Born != 0 && t.Sequence < e.Sequence && now.Sub(e.reportedAt) <= reportReorderWindow {
+	if e != nil && e.StartMS == t.StartMS && t.StartMS != 0 && t.Sequence < e.Sequence && now.Sub(e.reportedAt) <= reportReorderWindow {
 		e.missingSince = time.Time{}
 		return
 	}
-	if e == nil || e.Born != t.Born {
+	if e == nil || e.StartMS != t.StartMS {
 		e = &catalogEntry{}
 		c.targets[t.Instance] = e
 		if c.listed[c.decoder.Kinds().Targets] {
 			e.markCold(now.Add(c.coldTime(t.Service)))
 		}
 	}
-	if t.Cold > 0 {
-		e.markCold(now.Add(t.Cold))
+	if t.ColdTime > 0 {
+		e.markCold(now.Add(t.ColdTime))
 	}
 	e.Target = t
 	e.reportedAt = now
@@ -174,13 +174,13 @@
 
 // recordStart records the latest start of an instance.
 func (c *catalog) recordStart(t *Target) {
-	if t.Born == 0 {
+	if t.StartMS == 0 {
 		return
 	}
 	if len(c.latestStarts) >= maxStarts {
 		maps.DeleteFunc(c.latestStarts, func(id string, _ int64) bool { return c.targets[id] == nil })
 	}
-	c.latestStarts[t.Instance] = t.Born
+	c.latestStarts[t.Instance] = t.StartMS
 }
 
 func (c *catalog) coldTime(service string) time.Duration {
@@ -271,7 +271,7 @@
 		case !e.missingSince.IsZero():
 			state = "missing"
 		case !e.coldUntil.IsZero():
-			state = "cold for " + e.Cold.String()
+			state = "cold for " + e.ColdTime.String()
 		}
 		out[e.Name()] = e.Service + " at " + e.Address + " in " + e.Zone + " " + state
 	}
--- a/internal/discovery/catalog_test.go
+++ b/internal/discovery/catalog_test.go
@@ -21,18 +21,18 @@
 	return Kinds{Document: "doc", DocumentName: "main", Evacuations: "zones", Targets: "targets"}
 }
 
-func (jsonDecoder) Document(o platform.Object) (*Content, error) {
+func (jsonDecoder) Document(o platform.Object) (*DecodedDocument, error) {
 	var d testDocument
 	if err := json.Unmarshal(o.Value, &d); err != nil {
 		return nil, err
 	}
 	doc := &config.Document{Services: []config.Service{{Name: "svc", ColdMS: d.ColdMS}}}
-	return &Content{Generation: d.Generation, Document: doc}, nil
+	return &DecodedDocument{Generation: d.Generation, Document: doc}, nil
 }
 
 func (jsonDecoder) Target(o platform.Object) (Target, error) {
 	if o.Omitted > 0 {
-		return Target{}, ErrOmitted
+		return Target{}, ErrContentTooLarge
 	}
 	t := Target{Instance: o.Name}
 	err := json.Unmarshal(o.Value, &t)
@@ -180,13 +180,13 @@
 	if f.cold("new") {
 		t.Error("the target is cold for longer than its service's cold time")
 	}
-	f.report("old", Target{Cold: testCold})
+	f.report("old", Target{ColdTime: testCold})
 	if !f.cold("old") {
 		t.Error("a target that reports a cold time must be cold")
 	}
 	f.now = f.now.Add(testCold)
 	// A new version of the entry restarts the cold time.
-	f.report("old", Target{Cold: testCold})
+	f.report("old", Target{ColdTime: testCold})
 	if !f.cold("old") {
 		t.Error("a target that reports a cold time again must be cold again")
 	}
--- a/internal/discovery/confirm_test.go
+++ b/internal/discovery/confirm_test.go
@@ -20,7 +20,7 @@
 	f := newFleet(t, size)
 	f.revocation = revocationBound
 	timing := Timings(jsonDecoder{}.Kinds(), f.bounds())[jsonDecoder{}.Kinds().Document]
-	f.store.WatchTimeout = timing.Watch
+	f.store.WatchTimeout = timing.WatchTimeout
 	for _, m := range f.view.Members {
 		f.restart(m.Name)
 	}
--- a/internal/discovery/decoder.go
+++ b/internal/discovery/decoder.go
@@ -26,14 +26,14 @@
 // Target is the entry that a target writes about itself.
 type Target struct {
 	Instance string // id under which the target registers
-	Born     int64  // start time in Unix milliseconds; 0: unknown
+	StartMS  int64  // start time in Unix milliseconds; 0: unknown
 	Sequence int64  // number of the report since the start
 	Service  string
 	Address  string
 	Zone     string // availability zone
 	Slots    int
 	Leaving  bool
-	Cold     time.Duration // remaining cold time when the entry was written
+	ColdTime time.Duration // remaining cold time when the entry was written
 }
 
 // The start time is appended to names in base 36, to keep names in messages short.
@@ -45,10 +45,10 @@
 // Name identifies one start of the target. State about targets is keyed by this name, because a
 // restarted target shares no state with its previous start.
 func (t *Target) Name() string {
-	if t.Born == 0 {
+	if t.StartMS == 0 {
 		return t.Instance
 	}
-	return t.Instance + startSeparator + strconv.FormatInt(t.Born, startBase)
+	return t.Instance + startSeparator + strconv.FormatInt(t.StartMS, startBase)
 }
 
 // Limits of entries.
@@ -67,11 +67,11 @@
 	if t.Slots < 1 || t.Slots > maxSlots {
 		return &FieldError{"slots", strconv.Itoa(t.Slots), fmt.Sprintf("1 to %d", maxSlots)}
 	}
-	if t.Cold < 0 || t.Cold > maxColdTime {
-		return &FieldError{"cold time", t.Cold.String(), "0 to " + maxColdTime.String()}
+	if t.ColdTime < 0 || t.ColdTime > maxColdTime {
+		return &FieldError{"cold time", t.ColdTime.String(), "0 to " + maxColdTime.String()}
 	}
-	if t.Born < 0 || t.Sequence < 0 {
-		return &FieldError{"start", fmt.Sprintf("%d, report %d", t.Born, t.Sequence), "non-negative numbers"}
+	if t.StartMS < 0 || t.Sequence < 0 {
+		return &FieldError{"start", fmt.Sprintf("%d, report %d", t.StartMS, t.Sequence), "non-negative numbers"}
 	}
 	if regionByZone[t.Zone] == "" {
 		return &FieldError{"zone", t.Zone, "an availability zone of the deployment"}
@@ -104,11 +104,11 @@
 	return fmt.Sprintf("field %q: got %q; allowed is %s", e.Field, e.Got, e.Allowed)
 }
 
-// ErrOmitted is returned for objects whose content was too large to be kept.
-var ErrOmitted = errors.New("the object's content is too large")
+// ErrContentTooLarge is returned for objects whose content was too large to be kept.
+var ErrContentTooLarge = errors.New("the object's content is too large")
 
-// Content is the decoded object that holds the document.
-type Content struct {
+// DecodedDocument is the decoded object that holds the document.
+type DecodedDocument struct {
 	Generation config.Generation
 	Document   *config.Document
 	Customers  *customer.Directory // nil if there are no customers
@@ -118,6 +118,6 @@
 // content.
 type Decoder interface {
 	Kinds() Kinds
-	Document(platform.Object) (*Content, error)
+	Document(platform.Object) (*DecodedDocument, error)
 	Target(platform.Object) (Target, error)
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -92,7 +92,7 @@
 		t: t, hub: peertest.NewHub(1), store: platformtest.NewStore(),
 		vms: make(map[string]*Service), access: make(map[string]*storeAccess), view: &membership.View{},
 	}
-	f.store.WatchTimeout = Timings(jsonDecoder{}.Kinds(), f.bounds())[jsonDecoder{}.Kinds().Document].Watch
+	f.store.WatchTimeout = Timings(jsonDecoder{}.Kinds(), f.bounds())[jsonDecoder{}.Kinds().Document].WatchTimeout
 	for i := range size {
 		f.view.Members = append(f.view.Members, membership.Member{
 			Name: fmt.Sprintf("vm-%03d", i), Region: fmt.Sprintf("r%d", i%3), State: membership.Alive, Generation: 1,
@@ -125,7 +125,7 @@
 	f.vms[name] = NewService(Deps{
 		Store: f.access[name], Decoder: jsonDecoder{}, Members: fixedMembers{&view}, Network: network,
 		Joined: func() bool { return true }, FirstStart: f.firstStart,
-		Places: map[string]string{"z1": "r0"}, Bounds: f.bounds(), Shares: noShares,
+		RegionByZone: map[string]string{"z1": "r0"}, Bounds: f.bounds(), Shares: noShares,
 		Clock: kernel.SystemClock{}, Logger: telemetry.Discard(),
 	})
 	if err := f.vms[name].Start(ctx); err != nil {
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -14,8 +14,8 @@
 
 func entrySeeds() [][]byte {
 	return [][]byte{
-		[]byte(`{"Service":"svc","Zone":"z1","Slots":4,"Address":"10.0.0.1:80","Born":1764725813000,"Sequence":3}`),
-		[]byte(`{"Service":"svc","Zone":"z2","Slots":1,"Address":"[::1]:80","Leaving":true,"Cold":1000000000}`),
+		[]byte(`{"Service":"svc","Zone":"z1","Slots":4,"Address":"10.0.0.1:80","StartMS":1764725813000,"Sequence":3}`),
+		[]byte(`{"Service":"svc","Zone":"z2","Slots":1,"Address":"[::1]:80","Leaving":true,"ColdTime":1000000000}`),
 	}
 }
 
--- a/internal/discovery/registrar.go
+++ b/internal/discovery/registrar.go
@@ -46,12 +46,12 @@
 
 // RegistrarDeps holds the dependencies of a Registrar.
 type RegistrarDeps struct {
-	Store   platform.Store
-	Self    edge.VMRecord
-	Seeded  bool // VMs join through configured seeds
-	Joined  func() bool
-	Members membership.Source
-	Logger  *telemetry.Logger
+	Store    platform.Store
+	Self     edge.VMRecord
+	HasSeeds bool // VMs join through configured seeds
+	Joined   func() bool
+	Members  membership.Source
+	Logger   *telemetry.Logger
 }
 
 var _ kernel.Service = (*Registrar)(nil)
@@ -95,7 +95,7 @@
 // seeds, it is needed if this VM has not joined the others or is among the first entriesPerRegion
 // VMs of its region.
 func (r *Registrar) waitUntilNeeded(ctx context.Context) {
-	for needed := 0; r.deps.Seeded && needed < minNeedChecks && ctx.Err() == nil; {
+	for needed := 0; r.deps.HasSeeds && needed < minNeedChecks && ctx.Err() == nil; {
 		sleep(ctx, needCheckInterval)
 		if !r.isNeeded() {
 			needed = 0
--- a/internal/discovery/service.go
+++ b/internal/discovery/service.go
@@ -52,9 +52,9 @@
 	// Joined reports whether this VM has joined the fleet or is its only VM.
 	Joined func() bool
 	// FirstStart is set if the whole fleet is being started for the first time.
-	FirstStart bool
-	Places     map[string]string // region of each availability zone
-	Bounds     settings.Bounds
+	FirstStart   bool
+	RegionByZone map[string]string // region of each availability zone
+	Bounds       settings.Bounds
 	// Shares returns the fleet's limits and this VM's share of the retry budget. Neither is part
 	// of the stored document.
 	Shares  func() (config.Fleet, config.Retry)
@@ -107,7 +107,7 @@
 	s := &Service{
 		deps:          d,
 		timings:       Timings(d.Decoder.Kinds(), d.Bounds),
-		catalog:       newCatalog(d.Decoder, d.Places),
+		catalog:       newCatalog(d.Decoder, d.RegionByZone),
 		mirrors:       make(map[platform.Kind]*Mirror),
 		lastContact:   make(map[platform.Kind]time.Time),
 		contactSignal: make(map[platform.Kind]chan struct{}),
@@ -251,7 +251,7 @@
 func (s *Service) isFirstList(c change) bool { return c.complete && !s.catalog.listed[c.kind] }
 
 // staleAfter returns the age above which the state of a kind is stale.
-func (s *Service) staleAfter(kind platform.Kind) time.Duration { return s.timings[kind].Stale }
+func (s *Service) staleAfter(kind platform.Kind) time.Duration { return s.timings[kind].StaleAfter }
 
 // recordContact records contact with the store and wakes the waiting polls of peers.
 func (s *Service) recordContact(kind platform.Kind, at time.Time) {
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -29,10 +29,10 @@
 // A restarted target must not share state with its previous start.
 func TestRestartUnderTheSameID(t *testing.T) {
 	f := newCatalogFixture(t)
-	f.report("a", Target{Born: 1000, Leaving: true})
+	f.report("a", Target{StartMS: 1000, Leaving: true})
 	f.now = f.now.Add(time.Minute)
 	first := f.names()["a"]
-	f.report("a", Target{Born: 2000})
+	f.report("a", Target{StartMS: 2000})
 	if f.names()["a"] == first {
 		t.Errorf("both starts have the name %s", first)
 	}
@@ -49,18 +49,18 @@
 
 func TestOlderStartNeverReplacesANewerOne(t *testing.T) {
 	f := newCatalogFixture(t)
-	f.report("a", Target{Born: 2000})
+	f.report("a", Target{StartMS: 2000})
 	want := f.names()["a"]
-	f.report("a", Target{Born: 1000, Leaving: true})
+	f.report("a", Target{StartMS: 1000, Leaving: true})
 	if f.names()["a"] != want || f.catalog.targets["a"].Leaving {
 		t.Errorf("an older start replaced a newer one: %v", f.catalog.states())
 	}
 	f.remove("a")
-	f.report("a", Target{Born: 1000})
+	f.report("a", Target{StartMS: 1000})
 	if len(f.names()) != 0 {
 		t.Errorf("an older start was accepted after the newer one was removed: %v", f.catalog.states())
 	}
-	f.report("a", Target{Born: 2000})
+	f.report("a", Target{StartMS: 2000})
 	if f.names()["a"] != want {
 		t.Errorf("the newer start was not accepted again: %v", f.catalog.states())
 	}
@@ -69,9 +69,9 @@
 // A further report of a known start must not make the target cold again.
 func TestRepeatedStartChangesNothing(t *testing.T) {
 	f := newCatalogFixture(t)
-	f.report("a", Target{Born: 1000})
+	f.report("a", Target{StartMS: 1000})
 	f.now = f.now.Add(time.Minute)
-	f.report("a", Target{Born: 1000, Sequence: 2})
+	f.report("a", Target{StartMS: 1000, Sequence: 2})
 	if f.cold("a") {
 		t.Error("a known start is cold again")
 	}
@@ -81,17 +81,17 @@
 // restart with each start.
 func TestReportsOfOneStartAreInOrder(t *testing.T) {
 	f := newCatalogFixture(t)
-	f.report("a", Target{Born: 1000, Sequence: 7, Leaving: true})
-	f.report("a", Target{Born: 1000, Sequence: 6})
+	f.report("a", Target{StartMS: 1000, Sequence: 7, Leaving: true})
+	f.report("a", Target{StartMS: 1000, Sequence: 6})
 	if !f.catalog.targets["a"].Leaving {
 		t.Error("an older report reverted that the target is leaving")
 	}
-	f.report("a", Target{Born: 2000, Sequence: 1})
+	f.report("a", Target{StartMS: 2000, Sequence: 1})
 	if f.catalog.targets["a"].Leaving {
 		t.Error("the sequence numbers of the previous start apply to the new one")
 	}
 	f.now = f.now.Add(reportReorderWindow + time.Second)
-	f.report("a", Target{Born: 2000, Sequence: 0, Leaving: true})
+	f.report("a", Target{StartMS: 2000, Sequence: 0, Leaving: true})
 	if !f.catalog.targets["a"].Leaving {
 		t.Error("a report with a lower sequence number is ignored after the reorder window")
 	}
@@ -104,19 +104,19 @@
 }
 
 func TestInvalidEntries(t *testing.T) {
-	good := `{"Service":"svc","Zone":"z1","Slots":1,"Address":"10.0.0.1:80","Born":5}`
+	good := `{"Service":"svc","Zone":"z1","Slots":1,"Address":"10.0.0.1:80","StartMS":5}`
 	swap := func(from, to string) string { return strings.Replace(good, from, to, 1) }
 	tests := map[string]string{
 		"bytes":              "\x00{",
 		"unknown zone":       swap("z1", "z9"),
 		"no slots":           swap(`"Slots":1`, `"Slots":0`),
 		"too many slots":     swap(`"Slots":1`, `"Slots":70000`),
-		"long cold":          swap(`"Slots":1`, `"Slots":1,"Cold":7200000000000`),
+		"long cold":          swap(`"Slots":1`, `"Slots":1,"ColdTime":7200000000000`),
 		"no address":         swap("10.0.0.1:80", ""),
 		"a host name":        swap("10.0.0.1:80", "host:80"),
 		"port 0":             swap("10.0.0.1:80", "10.0.0.1:0"),
 		"large port":         swap("10.0.0.1:80", "10.0.0.1:80000"),
-		"start time removed": swap(`,"Born":5`, ""),
+		"start time removed": swap(`,"StartMS":5`, ""),
 	}
 	for name, bad := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -158,7 +158,7 @@
 func TestLongEntriesAreNotKept(t *testing.T) {
 	f := newCatalogFixture(t, "other")
 	invalid := f.put("a", `{"x":"`+strings.Repeat("y", maxEntryBytes)+`"}`)
-	if len(invalid) != 1 || !errors.Is(invalid[0].err, ErrOmitted) || len(f.names()) != 1 {
+	if len(invalid) != 1 || !errors.Is(invalid[0].err, ErrContentTooLarge) || len(f.names()) != 1 {
 		t.Errorf("invalid %v, targets %v", invalid, f.names())
 	}
 	if o, _ := f.targets.Get("a"); len(o.Value) != 0 || o.Omitted <= maxEntryBytes {
@@ -170,7 +170,7 @@
 func TestStartsAreBounded(t *testing.T) {
 	f := newCatalogFixture(t, "other")
 	for i := range 3 * maxStarts {
-		f.catalog.recordStart(&Target{Instance: fmt.Sprint(i), Born: int64(i + 1)})
+		f.catalog.recordStart(&Target{Instance: fmt.Sprint(i), StartMS: int64(i + 1)})
 	}
 	if n := len(f.catalog.latestStarts); n > maxStarts {
 		t.Errorf("%d starts are kept", n)
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -10,22 +10,22 @@
 // Timing sets how fresh each VM keeps its state of a kind, so that changes reach all VMs within a
 // bound.
 type Timing struct {
-	// Watch is how long the store may hold a watch. An outage or missed changes are detected
+	// WatchTimeout is how long the store may hold a watch. An outage or missed changes are detected
 	// within this time.
-	Watch time.Duration
-	// Stale is the age above which a peer's state is stale. It covers a watch, the delay between
+	WatchTimeout time.Duration
+	// StaleAfter is the age above which a peer's state is stale. It covers a watch, the delay between
 	// regions and coalesceDelay. The rest of the bound is left for polling other peers.
-	Stale time.Duration
+	StaleAfter time.Duration
 }
 
 // Default timings and the bounds that they meet. For tighter bounds they are shortened in
 // proportion.
 var (
 	// changeTiming applies to the document and the targets.
-	changeTiming = Timing{Watch: 950 * time.Millisecond, Stale: 1350 * time.Millisecond}
+	changeTiming = Timing{WatchTimeout: 950 * time.Millisecond, StaleAfter: 1350 * time.Millisecond}
 	changeBound  = 2 * time.Second
 	// zonesTiming applies to the evacuated zones.
-	zonesTiming = Timing{Watch: 2400 * time.Millisecond, Stale: 2800 * time.Millisecond}
+	zonesTiming = Timing{WatchTimeout: 2400 * time.Millisecond, StaleAfter: 2800 * time.Millisecond}
 	zonesBound  = 5 * time.Second
 )
 
@@ -37,8 +37,8 @@
 func Timings(kinds Kinds, b settings.Bounds) map[platform.Kind]Timing {
 	document := changeTiming.scaledTo(changeBound, b.ConfigInForce)
 	if b.KeyRevocation > 0 {
-		watch := min(document.Watch, b.KeyRevocation/watchesPerRevocation)
-		document = Timing{Watch: watch, Stale: document.Stale - document.Watch + watch}
+		watch := min(document.WatchTimeout, b.KeyRevocation/watchesPerRevocation)
+		document = Timing{WatchTimeout: watch, StaleAfter: document.StaleAfter - document.WatchTimeout + watch}
 	}
 	return map[platform.Kind]Timing{
 		kinds.Document:    document,
@@ -54,7 +54,7 @@
 	}
 	ratio := float64(bound) / float64(designBound)
 	return Timing{
-		Watch: time.Duration(ratio * float64(t.Watch)),
-		Stale: time.Duration(ratio * float64(t.Stale)),
+		WatchTimeout: time.Duration(ratio * float64(t.WatchTimeout)),
+		StaleAfter:   time.Duration(ratio * float64(t.StaleAfter)),
 	}
 }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -24,7 +24,7 @@
 func (c fixedConfig) Current() *config.Snapshot               { return c.snap }
 func (c fixedConfig) Subscribe(func(*config.Snapshot)) func() { return func() {} }
 
-// vm implements Members and Callers of a VM that is being stopped.
+// vm implements Leaver and Listener for a VM that is being stopped.
 type vm struct {
 	inFlight       atomic.Int64
 	closing        atomic.Bool
--- a/internal/drain/service.go
+++ b/internal/drain/service.go
@@ -30,14 +30,14 @@
 	leaveFraction = 0.1
 )
 
-// Members announces to the other VMs that this VM is leaving.
-type Members interface {
+// Leaver announces to the other VMs that this VM is leaving.
+type Leaver interface {
 	// Leave returns once the neighbors have acknowledged.
 	Leave(ctx context.Context) error
 }
 
-// Callers is the listener for callers, which is drained.
-type Callers interface {
+// Listener is the listener for callers, which is drained.
+type Listener interface {
 	InFlight() int
 	CloseConnections()
 	// Refuse makes the listener refuse further requests and report them as not run.
@@ -46,12 +46,12 @@
 
 // Deps holds the dependencies of a Service.
 type Deps struct {
-	Members Members
-	Callers Callers
-	Config  config.Source
-	Grace   time.Duration // time from the request to stop until the process is killed; 0: unbounded
-	Clock   kernel.Clock
-	Logger  *telemetry.Logger
+	Members   Leaver
+	Callers   Listener
+	Config    config.Source
+	StopGrace time.Duration // time from the request to stop until the process is killed; 0: unbounded
+	Clock     kernel.Clock
+	Logger    *telemetry.Logger
 }
 
 // Service drains this VM. It must be registered such that it is drained before
@@ -98,8 +98,8 @@
 		p.lookupMaxAge = snap.Document.Lookup.MaxAgeMS.Duration()
 		p.reportInterval = snap.Document.Drain.GraceMS.Duration()
 	}
-	if s.deps.Grace > 0 {
-		p.propagation = time.Duration(lingerFraction * float64(s.deps.Grace))
+	if s.deps.StopGrace > 0 {
+		p.propagation = time.Duration(lingerFraction * float64(s.deps.StopGrace))
 		p.lookupMaxAge = 0
 		p.bounded = true
 	}
@@ -126,10 +126,10 @@
 
 // leaveTimeout returns the limit of the wait for acknowledgments.
 func (s *Service) leaveTimeout() time.Duration {
-	if s.deps.Grace == 0 {
+	if s.deps.StopGrace == 0 {
 		return maxLeaveTimeout
 	}
-	return min(maxLeaveTimeout, time.Duration(leaveFraction*float64(s.deps.Grace)))
+	return min(maxLeaveTimeout, time.Duration(leaveFraction*float64(s.deps.StopGrace)))
 }
 
 func (s *Service) announceLeave(ctx context.Context) {
--- a/internal/lookup/service.go
+++ b/internal/lookup/service.go
@@ -34,11 +34,11 @@
 
 // Deps holds the dependencies of a Service.
 type Deps struct {
-	Config  config.Source
-	Members membership.Source
-	Home    Place        // place of this VM, used for callers that no client block contains
-	Tickets TicketIssuer // nil: answers contain no tickets
-	Metrics *metrics.Set
+	Config       config.Source
+	Members      membership.Source
+	DefaultPlace Place        // place of this VM, used for callers that no client block contains
+	Tickets      TicketIssuer // nil: answers contain no tickets
+	Metrics      *metrics.Set
 }
 
 // Service answers look-ups. For one document and one view of the members, each
@@ -118,7 +118,7 @@
 	if last != nil && last.snap.BlocksHash == snap.BlocksHash {
 		return last.table
 	}
-	return NewTable(snap.Document.ClientBlocks, s.deps.Home)
+	return NewTable(snap.Document.ClientBlocks, s.deps.DefaultPlace)
 }
 
 // refresh installs an empty answer cache if the document or the roster changed,
@@ -140,8 +140,8 @@
 	}
 }
 
-// Renew discards the cached answers, so that new answers contain new tickets.
-func (s *Service) Renew() {
+// DiscardAnswers discards the cached answers, so that new answers contain new tickets.
+func (s *Service) DiscardAnswers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old := s.answers.Load(); old != nil {
@@ -168,7 +168,7 @@
 func (s *Service) Locate(addr netip.Addr) Place {
 	t := s.table.Load()
 	if t == nil {
-		return s.deps.Home
+		return s.deps.DefaultPlace
 	}
 	return t.table.Locate(addr)
 }
