--- a/internal/forward/ahead.go
+++ b/internal/forward/ahead.go
@@ -10,8 +10,9 @@
 	"masticturn/internal/telemetry"
 )
 
-// OpenAhead opens connections to expected targets of services with mostly repeatable requests, unless
-// many idle connections are stale. It must be called every targetconn.AheadInterval and does not block.
+// OpenAhead opens connections to targets that are expected to get requests soon, if most requests of
+// their service are repeatable. It opens none while many idle connections are stale. It must be called
+// every targetconn.AheadInterval and does not block.
 func (h *Handler) OpenAhead(ctx context.Context) {
 	snap := h.deps.Config.Current()
 	if h.deps.Expected == nil || snap == nil || h.closing.Load() || h.conns.MostlyStale() {
@@ -19,40 +20,42 @@
 	}
 	expected := h.deps.Expected()
 	for _, t := range expected[:min(len(expected), targetconn.AheadMost)] {
-		rule := connectionRuleOf(snap, t)
-		if !h.repeatable.most(t.Service) || !rule.keep || h.conns.HasOpen(t) {
+		policy := connectionPolicyOf(snap, t)
+		if !h.repeatableShares.isMostlyRepeatable(t.Service) || !policy.keep || h.conns.HasOpen(t) {
 			continue
 		}
-		if !h.ahead.Spend() {
+		if !h.aheadBudget.Spend() {
 			return
 		}
-		go h.openAhead(ctx, t, rule.limit)
+		go h.openAhead(ctx, t, policy.limit)
 	}
 }
 
-// recordRemote records a request to a target of another region.
+// recordRemote records a request to a target in another region, which earns a part of a connection to
+// be opened ahead.
 func (h *Handler) recordRemote(x *exchange) {
-	h.ahead.Earn()
-	h.repeatable.note(x.match.Service.Name, x.repeatable)
+	h.aheadBudget.Earn()
+	h.repeatableShares.record(x.match.Service.Name, x.repeatable)
 }
 
 func (h *Handler) openAhead(ctx context.Context, t *config.TargetIndex, limit int) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	if _, err := h.conns.OpenAhead(ctx, t, limit); err != nil {
-		h.deps.Logger.Log(eventAheadFailed, telemetry.Peer(t.Name), telemetry.Err(err))
+		h.deps.Logger.Log(eventOpenAheadFailed, telemetry.Peer(t.Name), telemetry.Err(err))
 	}
 }
 
-// Bounds of repeatableShares.
+// Parameters of repeatableShares.
 const (
-	// repeatableWeight is the weight of one request in a service's share.
-	repeatableWeight = 0.05
-	// minRepeatable is the share from which connections are opened ahead.
-	minRepeatable = 0.5
+	// repeatableSampleWeight is the weight of one request in the moving average of its service.
+	repeatableSampleWeight = 0.05
+	// minRepeatableShare is the share of repeatable requests from which connections are opened ahead.
+	minRepeatableShare = 0.5
 )
 
-// repeatableShares is the share of repeatable requests to other regions, by service.
+// repeatableShares holds, by service, the share of repeatable requests among those to other regions, as
+// an exponential moving average.
 type repeatableShares struct {
 	mu        sync.Mutex
 	byService map[string]float64
@@ -62,30 +65,30 @@
 	return &repeatableShares{byService: make(map[string]float64)}
 }
 
-// note records a request.
-func (s *repeatableShares) note(service string, repeatable bool) {
+// record records a request of a service.
+func (s *repeatableShares) record(service string, repeatable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	is := 0.0
+	sample := 0.0
 	if repeatable {
-		is = 1
+		sample = 1
 	}
 	share, known := s.byService[service]
 	if !known {
-		share = is
+		share = sample
 	}
-	s.byService[service] = share + repeatableWeight*(is-share)
+	s.byService[service] = share + repeatableSampleWeight*(sample-share)
 }
 
-// most reports whether most of a service's requests are repeatable.
-func (s *repeatableShares) most(service string) bool {
+// isMostlyRepeatable reports whether most of a service's requests are repeatable.
+func (s *repeatableShares) isMostlyRepeatable(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.byService[service] >= minRepeatable
+	return s.byService[service] >= minRepeatableShare
 }
 
-// keep forgets services that left the document.
-func (s *repeatableShares) keep(snap *config.Snapshot) {
+// retain drops services that are no longer in the document.
+func (s *repeatableShares) retain(snap *config.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	maps.DeleteFunc(s.byService, func(service string, _ float64) bool { return snap.Service(service) == nil })
--- a/internal/forward/ahead_test.go
+++ b/internal/forward/ahead_test.go
@@ -13,14 +13,14 @@
 	"masticturn/internal/outcome"
 )
 
-// droppingTarget has dropped a connection by its second request. One that lies
-// resets fresh connections too, once it is told to.
-func droppingTarget(t *testing.T, lies *atomic.Bool) (address string, runs *atomic.Int32) {
+// newDroppingTarget starts a target that resets a connection at its second request; if
+// resetAll is set, also at the first one.
+func newDroppingTarget(t *testing.T, resetAll *atomic.Bool) (address string, runs *atomic.Int32) {
 	t.Helper()
 	runs = &atomic.Int32{}
-	seen := make(map[string]bool) // by the caller's side of a connection; requests come one by one
+	seen := make(map[string]bool) // by remote address of the connection; requests are sequential
 	address = newTarget(t, func(w http.ResponseWriter, r *http.Request) {
-		if seen[r.RemoteAddr] || lies.Load() {
+		if seen[r.RemoteAddr] || resetAll.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		seen[r.RemoteAddr] = true
@@ -30,8 +30,7 @@
 	return address, runs
 }
 
-// steppedClock stands still but for steps between requests, so that no exchange
-// takes any time by it.
+// steppedClock only advances by calls of step, so that exchanges take no time.
 type steppedClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -43,28 +42,28 @@
 	return c.now
 }
 
-// step lets connections be idle for a second.
+// step advances the clock by a second, during which connections are idle.
 func (c *steppedClock) step() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(time.Second)
 }
 
-// newSteppedBench is a bench with targets, the clock of which only steps move.
-func newSteppedBench(t *testing.T, targets ...string) (*bench, *steppedClock) {
+// newSteppedProxy returns a proxy with a stepped clock.
+func newSteppedProxy(t *testing.T, targets ...string) (*testProxy, *steppedClock) {
 	t.Helper()
-	doc := document(targets...)
+	doc := testDocument(targets...)
 	doc.Classes[0].TimeoutMS = 60000
 	clock := &steppedClock{now: time.Now()}
-	return newBenchWithClock(t, doc, nil, newTestLogger(io.Discard), clock), clock
+	return newTestProxyWithClock(t, doc, nil, newTestLogger(io.Discard), clock), clock
 }
 
-// Targets had dropped idle connections, and requests on them were sent to other
-// targets, which did not know their objects, or failed when the retry budget was
-// spent. The same target is asked again, on a fresh connection.
+// After targets had closed idle connections, requests on these were sent to other
+// targets, which had not cached their objects, or failed when the retry budget was
+// exhausted. They must be sent to the same target again, on a new connection.
 func TestStaleConnectionIsNoTry(t *testing.T) {
-	address, runs := droppingTarget(t, &atomic.Bool{})
-	b, clock := newSteppedBench(t, address)
+	address, runs := newDroppingTarget(t, &atomic.Bool{})
+	b, clock := newSteppedProxy(t, address)
 	for i := range 4 {
 		clock.step()
 		resp, body, err := b.call(t, http.MethodGet, "/svc/get", nil)
@@ -90,34 +89,35 @@
 	}
 }
 
-// A request that may not be repeated may have run on a connection that was reset.
+// A request that is not repeatable may have run if its connection was reset, so it
+// is not sent again.
 func TestStaleConnectionOfARequestThatMayNotRepeat(t *testing.T) {
-	address, runs := droppingTarget(t, &atomic.Bool{})
-	b, clock := newSteppedBench(t, address)
+	address, runs := newDroppingTarget(t, &atomic.Bool{})
+	b, clock := newSteppedProxy(t, address)
 	if resp, _, err := b.call(t, http.MethodGet, "/svc/get", nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("%v, %v", resp, err)
 	}
 	clock.step()
 	resp, _, err := b.call(t, http.MethodPost, "/svc/commit", nil)
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("%v, %v; want that nobody knows whether it ran", resp, err)
+		t.Errorf("%v, %v; want 502 for an unknown outcome", resp, err)
 	}
 	if n := runs.Load(); n != 1 {
 		t.Errorf("%d runs, want 1", n)
 	}
 }
 
-// A target that resets idle and fresh connections alike costs no request its
-// second target.
+// If a target resets a new connection after a stale one, the request is sent to
+// another target.
 func TestTargetThatResetsAllIsLeft(t *testing.T) {
-	var lies atomic.Bool
-	liar, _ := droppingTarget(t, &lies)
-	sound := newTarget(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "sound") })
-	b, clock := newSteppedBench(t, liar, sound)
+	var resetAll atomic.Bool
+	resetting, _ := newDroppingTarget(t, &resetAll)
+	healthy := newTarget(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "sound") })
+	b, clock := newSteppedProxy(t, resetting, healthy)
 	if _, body, err := b.call(t, http.MethodGet, "/svc/get", nil); err != nil || body != "ok" {
 		t.Fatalf("%q, %v", body, err)
 	}
-	lies.Store(true)
+	resetAll.Store(true)
 	clock.step()
 	b.admission.sticky = true
 	resp, body, err := b.call(t, http.MethodGet, "/svc/get", nil)
@@ -126,29 +126,29 @@
 	}
 }
 
-// Connections are opened ahead for requests that may be repeated, within what
-// requests have earned; the next request finds one open.
+// Connections are opened ahead for repeatable requests, within the budget that
+// earlier requests have earned.
 func TestHandlerOpensAhead(t *testing.T) {
 	s := newScripted(t)
-	s.set(whole(okAnswer))
-	b := newBench(t, document(s.address), nil, newTestLogger(io.Discard))
+	s.set(fullAnswer(okAnswer))
+	b := newTestProxy(t, testDocument(s.address), nil, newTestLogger(io.Discard))
 	target := b.handler.deps.Config.Current().Service("svc").AllTargets[0]
 	b.handler.deps.Expected = func() []*config.TargetIndex { return []*config.TargetIndex{target} }
 
 	b.handler.OpenAhead(t.Context())
 	if b.handler.conns.HasOpen(target) {
-		t.Fatal("a connection was opened although no request has earned one")
+		t.Fatal("a connection was opened without any budget")
 	}
 	b.handler.recordRemote(&exchange{match: config.Match{Service: b.handler.deps.Config.Current().Service("svc")}, repeatable: true})
 	b.handler.OpenAhead(t.Context())
 	waitFor(t, func() bool { return b.handler.conns.HasOpen(target) })
 }
 
-// While many idle connections are stale none is opened ahead.
+// While many idle connections are stale, none is opened ahead.
 func TestNothingAheadWhileMostAreStale(t *testing.T) {
-	address, _ := droppingTarget(t, &atomic.Bool{})
-	b, clock := newSteppedBench(t, address)
-	for range 4 { // three of them meet a stale connection
+	address, _ := newDroppingTarget(t, &atomic.Bool{})
+	b, clock := newSteppedProxy(t, address)
+	for range 4 { // the last three meet a stale connection
 		clock.step()
 		if _, body, err := b.call(t, http.MethodGet, "/svc/get", nil); err != nil || body != "ok" {
 			t.Fatalf("%q, %v", body, err)
@@ -161,19 +161,19 @@
 	}
 	b.handler.OpenAhead(t.Context())
 	if asked {
-		t.Error("targets to connect to were asked for")
+		t.Error("expected targets were requested")
 	}
 }
 
-// waitFor waits until something holds; the test's own time bounds it.
-func waitFor(t *testing.T, holds func() bool) {
+// waitFor waits until the condition is true, for at most 10 seconds.
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
-			t.Fatal("it did not come to hold")
+			t.Fatal("the condition did not become true")
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -187,7 +187,7 @@
 		"timeout=":               0,
 		"timeout=-1":             0,
 		"timeout=99999999999999": 0,
-		"timeout = 7, max=3":     0, // not the header's form
+		"timeout = 7, max=3":     0, // not in the header's syntax
 		"timeout=1.5":            0,
 	} {
 		if got := keepAliveTimeout(header); got != want {
@@ -198,26 +198,26 @@
 
 func TestRepeatableShares(t *testing.T) {
 	s := newRepeatableShares()
-	if s.most("svc") {
-		t.Error("a service without requests has requests that may be repeated")
+	if s.isMostlyRepeatable("svc") {
+		t.Error("a service without requests counts as mostly repeatable")
 	}
 	for range 40 {
-		s.note("svc", true)
-		s.note("mixed", true)
-		s.note("mixed", false)
-		s.note("mixed", false)
+		s.record("svc", true)
+		s.record("mixed", true)
+		s.record("mixed", false)
+		s.record("mixed", false)
 	}
-	if !s.most("svc") || s.most("mixed") {
-		t.Errorf("svc %v, mixed %v; want svc only", s.most("svc"), s.most("mixed"))
+	if !s.isMostlyRepeatable("svc") || s.isMostlyRepeatable("mixed") {
+		t.Errorf("svc %v, mixed %v; want svc only", s.isMostlyRepeatable("svc"), s.isMostlyRepeatable("mixed"))
 	}
 	for range 40 {
-		s.note("svc", false)
+		s.record("svc", false)
 	}
-	if s.most("svc") {
-		t.Error("a service counts long after its requests have changed")
+	if s.isMostlyRepeatable("svc") {
+		t.Error("a service still counts as mostly repeatable after its requests have changed")
 	}
-	s.keep(config.NewLiveSnapshot(1, document("127.0.0.1:1")))
+	s.retain(config.NewLiveSnapshot(1, testDocument("127.0.0.1:1")))
 	if _, ok := s.byService["mixed"]; ok {
-		t.Error("a service that is in no document any more is kept")
+		t.Error("a service that is no longer in the document is kept")
 	}
 }
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -10,7 +10,8 @@
 	"masticturn/internal/outcome"
 )
 
-// writeError writes an error answer: headers for programs, JSON for both.
+// writeError sends an error response, with the details in a JSON body and, if the dialect has them, in
+// headers.
 func writeError(w http.ResponseWriter, id string, e *outcome.Error, d *edge.Dialect) {
 	raw, _ := json.Marshal(edge.ErrorBody{
 		Outcome:      e.Outcome.String(),
@@ -21,33 +22,33 @@
 		RequestID:    id,
 	})
 	h := w.Header()
-	setOne(h, "Content-Type", "application/json")
-	setOne(h, "Content-Length", strconv.Itoa(len(raw)))
+	setHeader(h, "Content-Type", "application/json")
+	setHeader(h, "Content-Length", strconv.Itoa(len(raw)))
 	if id != "" {
-		setOne(h, d.RequestID, id)
+		setHeader(h, d.RequestID, id)
 	}
 	if d.ExplainAnswers {
-		explain(h, e)
+		setOutcomeHeaders(h, e)
 	}
 	if e.RetryAfter > 0 {
-		setOne(h, "Retry-After", formatRetryAfter(e.RetryAfter, d.FractionalSeconds))
+		setHeader(h, "Retry-After", formatRetryAfter(e.RetryAfter, d.FractionalSeconds))
 	}
-	if status(e) == http.StatusUnauthorized {
-		setOne(h, "Www-Authenticate", d.CustomerKey) // RFC 9110, section 11.6.1
+	if errorStatus(e) == http.StatusUnauthorized {
+		setHeader(h, "Www-Authenticate", d.CustomerKey) // RFC 9110, section 11.6.1
 	}
-	w.WriteHeader(status(e))
+	w.WriteHeader(errorStatus(e))
 	_, _ = w.Write(raw)
 }
 
-func explain(h http.Header, e *outcome.Error) {
-	setOne(h, edge.HeaderOutcome, e.Outcome.String())
-	setOne(h, edge.HeaderStep, string(e.Step))
+func setOutcomeHeaders(h http.Header, e *outcome.Error) {
+	setHeader(h, edge.HeaderOutcome, e.Outcome.String())
+	setHeader(h, edge.HeaderStep, string(e.Step))
 	if e.Peer != "" {
-		setOne(h, edge.HeaderPeer, e.Peer)
+		setHeader(h, edge.HeaderPeer, e.Peer)
 	}
 }
 
-// formatRetryAfter formats seconds, rounded up if fractions are not allowed.
+// formatRetryAfter formats a duration in seconds, rounded up if fractions are not allowed.
 func formatRetryAfter(d time.Duration, fractional bool) string {
 	if fractional {
 		return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
@@ -55,7 +56,7 @@
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
 
-func status(e *outcome.Error) int {
+func errorStatus(e *outcome.Error) int {
 	switch {
 	case e.Status != 0:
 		return e.Status
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -15,100 +15,100 @@
 	"masticturn/internal/telemetry"
 )
 
-// connectTimeout bounds the opening of a connection.
+// connectTimeout limits the time to open a connection.
 const connectTimeout = time.Second
 
-// attempt is one try at one target.
+// attempt is one attempt to send a request to one target.
 type attempt struct {
-	x        *exchange
-	parent   context.Context // of the request
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	number   int      // 1 is the first one of the request
-	exclude  []string // targets that were tried
-	hedged   bool     // it is the second attempt of a hedge
-	fresh    bool     // it opens its connection, as an idle one was stale
-	hedge    *hedge   // nil when there is none
-	permit   admission.Permit
-	target   *config.TargetIndex
-	conn     *targetconn.Conn
-	keep     bool // the connection may be kept after the exchange
-	watch    *watchdog
-	stream   *upload
-	resp     *http.Response
-	sentAt   time.Time
-	opening  time.Duration // of the connection; 0: it was open
-	load     *edge.Load    // that the target reported; nil: none
-	draining bool
-	backoff  time.Duration // Retry-After of the target; 0: none
-	released bool
+	x           *exchange
+	requestCtx  context.Context // of the request
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	number      int      // 1 for the first attempt of the request
+	exclude     []string // names of targets already tried
+	hedged      bool     // this is the second attempt of a hedge
+	newConnOnly bool     // don't use an idle connection, as one was stale
+	hedge       *hedge   // nil if there is none
+	permit      admission.Permit
+	target      *config.TargetIndex
+	conn        *targetconn.Conn
+	keepConn    bool // the connection may be reused after the exchange
+	watchdog    *watchdog
+	stream      *upload
+	resp        *http.Response
+	sentAt      time.Time
+	connectTime time.Duration // time to open the connection; 0: it was already open
+	load        *edge.Load    // load reported by the target; nil: none
+	draining    bool
+	backoff     time.Duration // Retry-After of the target; 0: none
+	released    bool
 }
 
 func (x *exchange) newAttempt(parent context.Context, number int, exclude []string) *attempt {
-	a := &attempt{x: x, parent: parent, number: number, exclude: exclude}
+	a := &attempt{x: x, requestCtx: parent, number: number, exclude: exclude}
 	a.ctx, a.cancel = context.WithCancelCause(parent)
 	return a
 }
 
-// attempt makes one attempt, or a hedged pair, and releases its resources.
-func (x *exchange) attempt(ctx context.Context) attemptEnd {
+// attempt makes one attempt, with a hedge if one starts, and releases its resources.
+func (x *exchange) attempt(ctx context.Context) attemptResult {
 	a := x.newAttempt(ctx, x.dispatch.attempts, x.tried)
-	a.fresh = x.fresh
+	a.newConnOnly = x.newConnOnly
 	defer a.cancel(nil)
-	end := a.head()
-	x.recordTried(a, &end)
+	result := a.roundTrip()
+	x.recordTried(a, &result)
 	if a.hedge != nil {
-		if second, secondEnd := a.hedge.join(end.Fault); second != nil {
-			a.lose(&end)
-			x.dispatch.hedged(end)
+		if second, secondResult := a.hedge.resolve(result.Fault); second != nil {
+			a.discard(&result)
+			x.dispatch.recordHedgeWon(result)
 			defer second.cancel(nil)
-			x.recordTried(second, &secondEnd)
-			a, end = second, secondEnd
+			x.recordTried(second, &secondResult)
+			a, result = second, secondResult
 		}
 	}
-	if end.Fault == FaultNone {
-		end = a.relay()
+	if result.Fault == FaultNone {
+		result = a.relay()
 	}
-	a.finish(&end)
-	return end
+	a.finish(&result)
+	return result
 }
 
-// recordTried excludes an attempt's target from further ones, unless the connection was stale.
-func (x *exchange) recordTried(a *attempt, end *attemptEnd) {
-	x.fresh = x.fresh || end.Stale
-	if a.target != nil && !end.Stale {
+// recordTried excludes an attempt's target from further attempts, unless the connection was stale.
+func (x *exchange) recordTried(a *attempt, result *attemptResult) {
+	x.newConnOnly = x.newConnOnly || result.Stale
+	if a.target != nil && !result.Stale {
 		x.tried = append(x.tried, a.target.Name)
 	}
 }
 
-// head runs the attempt up to the checked head of the answer.
-func (a *attempt) head() attemptEnd {
-	if end := a.prepare(); end.Fault != FaultNone {
-		return end
+// roundTrip sends the request and checks the head of the response.
+func (a *attempt) roundTrip() attemptResult {
+	if result := a.acquire(); result.Fault != FaultNone {
+		return result
 	}
-	a.watch = a.newWatchdog()
-	if end := a.send(); end.Fault != FaultNone {
-		return end
+	a.watchdog = a.newWatchdog()
+	if result := a.send(); result.Fault != FaultNone {
+		return result
 	}
-	return a.check()
+	return a.checkHead()
 }
 
-// prepare acquires a slot and a connection. A slot lost meanwhile, as after a pause of this process,
-// is replaced before anything is sent.
-func (a *attempt) prepare() attemptEnd {
+// acquire acquires a slot and a connection. If the slot is lost in the meantime, for example because
+// this process was paused, another one is acquired before anything is sent.
+func (a *attempt) acquire() attemptResult {
 	for {
-		if end := a.admit(); end.Fault != FaultNone {
-			return end
+		if result := a.admit(); result.Fault != FaultNone {
+			return result
 		}
-		if end := a.connect(); end.Fault != FaultNone {
-			return end
+		if result := a.connect(); result.Fault != FaultNone {
+			return result
 		}
-		if end := a.screenAgain(); end.Fault != FaultNone {
-			return end
+		if result := a.recheckQuarantine(); result.Fault != FaultNone {
+			return result
 		}
 		checked, ok := a.permit.(admission.Checked)
 		if !ok || checked.Valid() {
-			return attemptEnd{}
+			return attemptResult{}
 		}
 		a.conn.Drop()
 		a.permit.Release(admission.Result{Outcome: outcome.NotRun, Step: outcome.StepConnect, InFlight: -1, Canceled: true})
@@ -117,21 +117,21 @@
 }
 
 // finish releases the attempt's resources.
-func (a *attempt) finish(end *attemptEnd) {
-	if a.watch != nil {
-		a.watch.stop()
+func (a *attempt) finish(result *attemptResult) {
+	if a.watchdog != nil {
+		a.watchdog.stop()
 	}
 	if a.resp != nil {
 		_ = a.resp.Body.Close()
 	}
 	if a.target != nil {
-		end.Peer = a.target.Name
+		result.Peer = a.target.Name
 	}
-	a.recordBroken(end)
-	a.releaseConn(end)
+	a.probeIfBroken(result)
+	a.releaseConn(result)
 }
 
-func (a *attempt) admit() attemptEnd {
+func (a *attempt) admit() attemptResult {
 	x := a.x
 	permit, err := x.h.deps.Admission.Acquire(a.ctx, &admission.Request{
 		ID:           x.id,
@@ -148,104 +148,104 @@
 		Retry:        a.number > 1,
 	})
 	if err != nil {
-		return attemptEnd{Step: outcome.StepAdmit, Fault: a.faultOr(FaultRefused), Err: err}
+		return attemptResult{Step: outcome.StepAdmit, Fault: a.contextFault(FaultRefused), Err: err}
 	}
 	a.permit = permit
 	a.target = permit.Target()
 	x.h.regions.recordPlaced(a.target.Region)
-	return attemptEnd{}
+	return attemptResult{}
 }
 
-// connect acquires a connection. A non-idempotent request needs one in very recent use or a new one:
-// any other may be stale, which would leave its outcome unknown.
-func (a *attempt) connect() attemptEnd {
+// connect acquires a connection. A request that is not repeatable needs a new or very recently used
+// one: any other may be stale, which would leave the outcome unknown.
+func (a *attempt) connect() attemptResult {
 	use := targetconn.UseAny
 	switch {
 	case !a.x.repeatable:
 		use = targetconn.UseRecent
-	case a.fresh:
+	case a.newConnOnly:
 		use = targetconn.UseFresh
 	}
 	ctx, cancel := context.WithTimeout(a.ctx, connectTimeout)
 	defer cancel()
-	rule := connectionRuleOf(a.x.snap, a.target)
-	a.keep = rule.keep
-	conn, err := a.x.h.conns.Get(ctx, a.target, rule.limit, use)
+	policy := connectionPolicyOf(a.x.snap, a.target)
+	a.keepConn = policy.keep
+	conn, err := a.x.h.conns.Get(ctx, a.target, policy.limit, use)
 	if err != nil {
-		return attemptEnd{
+		return attemptResult{
 			Step:       outcome.StepConnect,
-			Fault:      a.faultOr(FaultRefused),
+			Fault:      a.contextFault(FaultRefused),
 			NoListener: errors.Is(err, syscall.ECONNREFUSED),
 			Err:        err,
 		}
 	}
 	a.conn = conn
-	a.opening = conn.OpenedIn()
+	a.connectTime = conn.OpenedIn()
 	if a.number > 1 {
-		a.x.h.deps.Logger.Log(eventRetried, telemetry.Value("request_id", a.x.id), telemetry.Peer(a.target.Name),
+		a.x.h.deps.Logger.Log(eventRequestRetried, telemetry.Value("request_id", a.x.id), telemetry.Peer(a.target.Name),
 			telemetry.Value("digest", a.x.digestText()), telemetry.Value("attempt", a.number),
 			telemetry.Value("after", a.x.dispatch.last.Fault.String()))
 	}
-	a.x.h.budget.attemptedAt(a.target.Name, &a.x.snap.Document.Retry)
-	return attemptEnd{}
+	a.x.h.retryBudget.depositForTarget(a.target.Name, &a.x.snap.Document.Retry)
+	return attemptResult{}
 }
 
-// send sends the request and waits for the answer's head.
-func (a *attempt) send() attemptEnd {
-	req := a.outgoing()
+// send sends the request and waits for the head of the response.
+func (a *attempt) send() attemptResult {
+	req := a.newRequest()
 	a.sentAt = a.x.h.deps.Clock.Now()
 	a.x.h.regions.recordSent(a.target.Region)
 	if a.target.Region != a.x.h.deps.VM.Region {
 		a.x.h.recordRemote(a.x)
 	}
-	a.watch.start(a.stream != nil)
+	a.watchdog.start(a.stream != nil)
 	a.armHedge()
 	resp, err := a.conn.RoundTrip(req)
 	if err != nil {
-		return a.sendFailed(err)
+		return a.sendFailure(err)
 	}
-	a.watch.receiving()
+	a.watchdog.responseProgress()
 	a.resp = resp
-	return attemptEnd{}
+	return attemptResult{}
 }
 
-func (a *attempt) sendFailed(err error) attemptEnd {
+func (a *attempt) sendFailure(err error) attemptResult {
 	step := outcome.StepWait
-	if watchPhase(a.watch.phase.Load()) == watchSend {
+	if watchPhase(a.watchdog.phase.Load()) == watchSend {
 		step = outcome.StepSend
 	}
-	end := attemptEnd{Step: step, Fault: a.faultOr(FaultBroken), Err: err}
-	end.Sent = !a.conn.Untouched()
-	if !end.Sent {
-		end.Step = outcome.StepSend
+	result := attemptResult{Step: step, Fault: a.contextFault(FaultConnectionBroken), Err: err}
+	result.Sent = !a.conn.Untouched()
+	if !result.Sent {
+		result.Step = outcome.StepSend
 	}
-	a.blameCaller(&end)
-	end.Stale = end.Fault == FaultBroken && a.conn.Stale(a.x.h.deps.Clock.Now().Sub(a.sentAt))
-	return end
+	a.applyUploadError(&result)
+	result.Stale = result.Fault == FaultConnectionBroken && a.conn.Stale(a.x.h.deps.Clock.Now().Sub(a.sentAt))
+	return result
 }
 
-// blameCaller corrects the fault if the caller's body failed.
-func (a *attempt) blameCaller(end *attemptEnd) {
+// applyUploadError replaces the fault if reading the caller's body failed.
+func (a *attempt) applyUploadError(result *attemptResult) {
 	if a.stream == nil {
 		return
 	}
-	err := a.stream.failure()
+	err := a.stream.err()
 	switch {
 	case err == nil:
 		return
 	case errors.Is(err, errBodyTooLarge):
-		end.Fault, end.Status = FaultCallerSlow, http.StatusRequestEntityTooLarge
+		result.Fault, result.Status = FaultCallerSlow, http.StatusRequestEntityTooLarge
 	case a.stream.timedOut():
-		end.Fault = FaultCallerSlow
+		result.Fault = FaultCallerSlow
 	default:
-		end.Fault = FaultCallerGone
+		result.Fault = FaultCallerGone
 	}
-	end.Err = err
+	result.Err = err
 }
 
-// consumed reports whether the caller's body was read and not kept. Otherwise it passes the right to
-// read it to the next attempt.
-func (a *attempt) consumed() bool {
+// revokeUpload stops this attempt from reading the caller's body and reports whether a part was
+// already read and not buffered. If not, the next attempt can read the body.
+func (a *attempt) revokeUpload() bool {
 	if a.stream == nil {
 		return false
 	}
@@ -256,31 +256,31 @@
 	return !ok
 }
 
-// faultOr returns the fault that ended the attempt's context, or another.
-func (a *attempt) faultOr(otherwise Fault) Fault {
+// contextFault returns the fault that canceled the attempt's context, or else otherwise.
+func (a *attempt) contextFault(otherwise Fault) Fault {
 	if cause := context.Cause(a.ctx); cause != nil {
 		return faultOf(cause, FaultCallerGone)
 	}
 	return otherwise
 }
 
-// releaseConn releases connection and slot.
-func (a *attempt) releaseConn(end *attemptEnd) {
-	if end.Fault != FaultNone && a.conn != nil {
+// releaseConn releases the connection and the slot.
+func (a *attempt) releaseConn(result *attemptResult) {
+	if result.Fault != FaultNone && a.conn != nil {
 		a.conn.Drop()
-		end.Consumed = end.Consumed || a.consumed()
+		result.Consumed = result.Consumed || a.revokeUpload()
 	}
-	switch end.Fault {
-	case FaultSilent:
+	switch result.Fault {
+	case FaultTargetTimeout:
 		a.x.h.conns.Suspect(a.target)
-	case FaultCrossed:
+	case FaultMismatched:
 		a.x.h.conns.Distrust(a.target)
 	}
-	a.release(end)
+	a.release(result)
 }
 
-// release releases the slot, once.
-func (a *attempt) release(end *attemptEnd) {
+// release releases the slot. Further calls have no effect.
+func (a *attempt) release(result *attemptResult) {
 	if a.permit == nil || a.released {
 		return
 	}
@@ -289,42 +289,42 @@
 	r := admission.Result{
 		Outcome:     outcome.Answered,
 		Step:        outcome.StepComplete,
-		Connect:     a.opening,
+		Connect:     a.connectTime,
 		Latency:     a.x.h.deps.Clock.Now().Sub(a.sentAt),
-		ShedByPeer:  end.Fault == FaultShed,
-		Misdirected: end.Misdirected,
-		NoListener:  end.NoListener,
+		ShedByPeer:  result.Fault == FaultShed,
+		Misdirected: result.Misdirected,
+		NoListener:  result.NoListener,
 		Draining:    a.draining,
 		Backoff:     a.backoff,
 		InFlight:    inFlight,
 		Load:        a.load,
-		Canceled:    end.Stale || end.Fault == FaultCallerGone || end.Fault == FaultCallerSlow,
+		Canceled:    result.Stale || result.Fault == FaultCallerGone || result.Fault == FaultCallerSlow,
 	}
 	if a.resp != nil {
 		r.Status = a.resp.StatusCode
 	}
-	if end.Fault != FaultNone {
-		r.Step = end.Step
+	if result.Fault != FaultNone {
+		r.Step = result.Step
 		r.Outcome = outcome.Unknown
-		if !end.Sent || end.Fault == FaultShed {
+		if !result.Sent || result.Fault == FaultShed {
 			r.Outcome = outcome.NotRun
 		}
 	}
 	a.permit.Release(r)
 }
 
-// newWatchdog returns the watchdog of an attempt. It reserves half of the remaining time for another
-// attempt if one is allowed.
+// newWatchdog returns the watchdog of an attempt. The target has half of the remaining time to send its
+// first byte, so that the other half is left for another attempt if one is allowed.
 func (a *attempt) newWatchdog() *watchdog {
 	x := a.x
 	stream, target := x.stream, a.target.Name
-	silent := attemptEnd{Step: outcome.StepWait, Fault: FaultSilent, Sent: true, Consumed: stream != nil}
-	mayRetry := !a.hedged && !x.snap.Document.Retry.Patient && x.dispatch.mayRetry(silent)
+	timedOut := attemptResult{Step: outcome.StepWait, Fault: FaultTargetTimeout, Sent: true, Consumed: stream != nil}
+	mayRetry := !a.hedged && !x.snap.Document.Retry.Patient && x.dispatch.mayRetry(timedOut)
 	return &watchdog{
-		cancel:      a.cancel,
-		firstByte:   x.deadline.Sub(x.h.deps.Clock.Now()) / 2,
-		idle:        x.snap.Document.Limits.IdleTimeoutMS.Duration(),
-		giveUp:      func() bool { return mayRetry && x.retryAllowed(target) },
-		callerWaits: func() bool { return stream != nil && stream.waiting.Load() },
+		cancel:           a.cancel,
+		firstByteTimeout: x.deadline.Sub(x.h.deps.Clock.Now()) / 2,
+		idleTimeout:      x.snap.Document.Limits.IdleTimeoutMS.Duration(),
+		abandon:          func() bool { return mayRetry && x.retryAllowed(target) },
+		waitingForCaller: func() bool { return stream != nil && stream.waitingForCaller.Load() },
 	}
 }
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -19,30 +19,30 @@
 	errRevoked      = errors.New("the attempt is over")
 )
 
-// The states of an upload.
+// States of an upload.
 const (
 	uploadUnread uint32 = iota
-	uploadRead          // a byte was asked of the caller
+	uploadRead          // reading the caller's body has started
 	uploadRevoked
 )
 
-// upload streams a caller's body to a target for one attempt. It bounds size and pauses, and records
-// errors, which the transport would report as its own.
+// upload streams a caller's body to a target for one attempt. It limits the size and the pauses, and
+// records read errors, as the transport reports them as errors of its own.
 type upload struct {
-	body  io.Reader
-	rc    *http.ResponseController
-	clock kernel.Clock
-	idle  time.Duration // longest pause between bytes
-	left  int64         // bytes that may still come
-	watch *watchdog     // nil while no attempt runs
-	sum   *digest.Body  // of the request, up to what was read
-
-	whole   atomic.Pointer[digest.Digest] // nil until the body's end was read
-	lead    atomic.Pointer[digest.Digest] // nil until the body's beginning was read
-	ended   bool                          // the body's end was read
-	state   atomic.Uint32
-	waiting atomic.Bool // for the caller
-	failed  atomic.Pointer[error]
+	body        io.Reader
+	rc          *http.ResponseController
+	clock       kernel.Clock
+	idleTimeout time.Duration // longest pause between bytes
+	remaining   int64         // bytes until the size limit
+	watchdog    *watchdog     // nil while no attempt runs
+	hasher      *digest.Body  // digest of the request up to what was read
+
+	requestDigest    atomic.Pointer[digest.Digest] // nil until the end of the body was read
+	leadDigest       atomic.Pointer[digest.Digest] // digest of the head and the beginning of the body; nil until that was read
+	eof              bool                          // the end of the body was read
+	state            atomic.Uint32
+	waitingForCaller atomic.Bool // a read from the caller is in progress
+	firstErr         atomic.Pointer[error]
 }
 
 // Read implements io.Reader.
@@ -50,81 +50,81 @@
 	if !u.state.CompareAndSwap(uploadUnread, uploadRead) && u.state.Load() == uploadRevoked {
 		return 0, errRevoked
 	}
-	if u.ended {
-		// A deadline would end the server's watch of the connection.
+	if u.eof {
+		// Setting a deadline now would stop the server from watching the connection.
 		return 0, io.EOF
 	}
 	n, err := u.read(p)
-	u.left -= int64(n)
-	u.digest(p[:n])
+	u.remaining -= int64(n)
+	u.updateDigest(p[:n])
 	switch {
-	case u.left < 0:
+	case u.remaining < 0:
 		return 0, u.fail(errBodyTooLarge)
 	case err == io.EOF:
-		u.ended = true
-		whole := u.sum.Whole()
-		u.whole.Store(&whole)
-		if u.watch != nil {
-			u.watch.sent()
+		u.eof = true
+		whole := u.hasher.Whole()
+		u.requestDigest.Store(&whole)
+		if u.watchdog != nil {
+			u.watchdog.requestSent()
 		}
 	case err != nil:
 		return n, u.fail(errors.Join(errCallerBody, err))
-	case u.watch != nil:
-		u.watch.sending()
+	case u.watchdog != nil:
+		u.watchdog.bodyProgress()
 	}
 	return n, err
 }
 
-// digest adds a piece of the body to the digest.
-func (u *upload) digest(p []byte) {
-	_, _ = u.sum.Write(p)
-	if u.lead.Load() != nil {
+// updateDigest adds a part of the body to the digests.
+func (u *upload) updateDigest(p []byte) {
+	_, _ = u.hasher.Write(p)
+	if u.leadDigest.Load() != nil {
 		return
 	}
-	if lead, ok := u.sum.Lead(); ok {
-		u.lead.Store(&lead)
+	if lead, ok := u.hasher.Lead(); ok {
+		u.leadDigest.Store(&lead)
 	}
 }
 
-// read reads at most one byte beyond the limit, which proves that the body is too large.
+// read reads at most one byte beyond the limit, enough to detect that the body is too large.
 func (u *upload) read(p []byte) (int, error) {
-	if int64(len(p)) > u.left+1 {
-		p = p[:u.left+1]
+	if int64(len(p)) > u.remaining+1 {
+		p = p[:u.remaining+1]
 	}
-	u.waiting.Store(true)
-	defer u.waiting.Store(false)
-	_ = u.rc.SetReadDeadline(u.clock.Now().Add(u.idle))
+	u.waitingForCaller.Store(true)
+	defer u.waitingForCaller.Store(false)
+	_ = u.rc.SetReadDeadline(u.clock.Now().Add(u.idleTimeout))
 	return u.body.Read(p)
 }
 
 func (u *upload) fail(err error) error {
-	u.failed.CompareAndSwap(nil, &err)
+	u.firstErr.CompareAndSwap(nil, &err)
 	return err
 }
 
-// failure returns the error on the caller's side, or nil.
-func (u *upload) failure() error {
-	if p := u.failed.Load(); p != nil {
+// err returns the first error of reading the caller's body, or nil.
+func (u *upload) err() error {
+	if p := u.firstErr.Load(); p != nil {
 		return *p
 	}
 	return nil
 }
 
 // timedOut reports whether the caller was too slow.
-func (u *upload) timedOut() bool { return errors.Is(u.failure(), os.ErrDeadlineExceeded) }
+func (u *upload) timedOut() bool { return errors.Is(u.err(), os.ErrDeadlineExceeded) }
 
-// revoke ends an attempt's right to read and returns an upload for the next one; false if part was
-// read, so that it can't be sent again.
+// revoke stops an attempt from reading and returns an upload for the next one; false if a part was
+// already read, so that the body can't be sent again.
 func (u *upload) revoke() (*upload, bool) {
 	if !u.state.CompareAndSwap(uploadUnread, uploadRevoked) {
 		return nil, false
 	}
-	return &upload{body: u.body, rc: u.rc, clock: u.clock, idle: u.idle, left: u.left, sum: u.sum}, true
+	return &upload{body: u.body, rc: u.rc, clock: u.clock, idleTimeout: u.idleTimeout, remaining: u.remaining, hasher: u.hasher}, true
 }
 
-// replay returns an upload that starts with bytes already read.
-func (u *upload) replay(read []byte) *upload {
-	next := &upload{body: u.body, rc: u.rc, clock: u.clock, idle: u.idle, left: u.left + int64(len(read)), sum: u.sum}
+// withPrefix returns an upload that starts with the bytes already read.
+func (u *upload) withPrefix(read []byte) *upload {
+	next := &upload{body: u.body, rc: u.rc, clock: u.clock, idleTimeout: u.idleTimeout, remaining: u.remaining + int64(len(read)), hasher: u.hasher}
 	next.body = io.MultiReader(bytes.NewReader(read), u.body)
 	return next
 }
@@ -132,13 +132,13 @@
 // Close implements io.Closer. The server closes the caller's body itself.
 func (u *upload) Close() error { return nil }
 
-// readSmall reads a body of known length into one slice.
-func readSmall(u *upload, length int64) ([]byte, error) {
+// readBuffered reads a body of known length into one slice.
+func readBuffered(u *upload, length int64) ([]byte, error) {
 	body := make([]byte, length)
 	if _, err := io.ReadFull(u, body); err != nil {
 		return nil, err
 	}
-	// Reading to the end receives trailers and leaves the connection reusable.
+	// Reading to io.EOF receives the trailers and keeps the connection reusable.
 	var rest [1]byte
 	if n, err := u.Read(rest[:]); n != 0 || err != io.EOF {
 		return nil, errors.Join(errCallerBody, err)
--- a/internal/forward/brokenrun.go
+++ b/internal/forward/brokenrun.go
@@ -13,64 +13,64 @@
 	"masticturn/internal/telemetry"
 )
 
-// targetState is the result of a probe.
+// targetState is the result of a probe of a target.
 type targetState string
 
-// The results of a probe after a connection broke.
+// Results of a probe after a connection broke.
 const (
 	targetEnded     targetState = "ended"     // connection refused
 	targetListening targetState = "listening" // connection accepted
 	targetUnknown   targetState = "unknown"   // no answer
 )
 
-// brokenRun is a run whose connection broke before the whole answer.
+// brokenRun is a run whose connection broke before the complete response was received.
 type brokenRun struct {
-	subject quarantine.Subject
-	digest  string // of the request; empty if its body had not arrived
-	id      string // of the request
-	target  *config.TargetIndex
-	began   time.Time
-	ended   time.Time
-	done    chan struct{} // closed after the probe
+	subject   quarantine.Subject
+	digest    string // of the request; empty if its body had not arrived
+	id        string // of the request
+	target    *config.TargetIndex
+	startedAt time.Time
+	endedAt   time.Time
+	done      chan struct{} // closed when the probe's result is known
 }
 
-// endProbe probes targets whose connections broke, to distinguish crashes from resets.
-type endProbe struct {
+// crashProber connects to targets that broke a connection, to distinguish crashes from resets.
+type crashProber struct {
 	deps Deps
 
 	mu      sync.Mutex
-	running map[string][]*brokenRun // by target: those waiting for its probe
+	waiting map[string][]*brokenRun // runs waiting for a probe in progress, by target name
 }
 
-func newEndProbe(d Deps) *endProbe {
-	return &endProbe{deps: d, running: make(map[string][]*brokenRun)}
+func newCrashProber(d Deps) *crashProber {
+	return &crashProber{deps: d, waiting: make(map[string][]*brokenRun)}
 }
 
-// start probes a run's target, or joins a probe in progress. The channel is closed when
+// start probes the target of a run, or waits for a probe of it in progress. The channel is closed when
 // the result is known.
-func (p *endProbe) start(r *brokenRun) <-chan struct{} {
+func (p *crashProber) start(r *brokenRun) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waiting, running := p.running[r.target.Name]
-	p.running[r.target.Name] = append(waiting, r)
+	waiting, running := p.waiting[r.target.Name]
+	p.waiting[r.target.Name] = append(waiting, r)
 	if !running {
 		go p.probe(r.target)
 	}
 	return r.done
 }
 
-func (p *endProbe) probe(t *config.TargetIndex) {
-	state := p.stateOf(t)
+func (p *crashProber) probe(t *config.TargetIndex) {
+	state := p.probeState(t)
 	p.mu.Lock()
-	runs := p.running[t.Name]
-	delete(p.running, t.Name)
+	runs := p.waiting[t.Name]
+	delete(p.waiting, t.Name)
 	p.mu.Unlock()
 	for _, r := range runs {
 		p.report(r, state)
 	}
 }
 
-func (p *endProbe) stateOf(t *config.TargetIndex) targetState {
+func (p *crashProber) probeState(t *config.TargetIndex) targetState {
 	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	conn, err := p.deps.Dial(ctx, "tcp", t.Address)
@@ -84,17 +84,17 @@
 	return targetUnknown
 }
 
-func (p *endProbe) report(r *brokenRun, state targetState) {
+func (p *crashProber) report(r *brokenRun, state targetState) {
 	p.deps.Metrics.GetOrCreateCounter(fmt.Sprintf("masticturn_broken_runs_total{target=%q}", string(state))).Inc()
 	p.deps.Logger.Log(eventRunBroken,
 		telemetry.Peer(r.target.Name),
 		telemetry.Value("request_id", r.id),
 		telemetry.Value("digest", r.digest),
-		telemetry.Value("ran_ms", r.ended.Sub(r.began).Milliseconds()),
+		telemetry.Value("ran_ms", r.endedAt.Sub(r.startedAt).Milliseconds()),
 		telemetry.Value("target", string(state)))
-	// A draining target is expected to end.
+	// A draining target is expected to exit, so this is not a crash.
 	if state == targetEnded && !r.target.Leaving && p.deps.Screen != nil {
-		p.deps.Screen.Crashed(r.subject, r.target.Name, r.began, r.ended)
+		p.deps.Screen.Crashed(r.subject, r.target.Name, r.startedAt, r.endedAt)
 	}
 	close(r.done)
 }
--- a/internal/forward/brokenrun_test.go
+++ b/internal/forward/brokenrun_test.go
@@ -12,19 +12,19 @@
 	"masticturn/internal/digest"
 )
 
-// brokenLine is a line of eventRunBroken.
-type brokenLine struct {
+// brokenRunLine is a log line of eventRunBroken.
+type brokenRunLine struct {
 	Event                int
 	Peer, Digest, Target string
 }
 
-// awaitBroken waits for a number of lines about broken runs.
-func awaitBroken(t *testing.T, log *syncBuffer, n int) []brokenLine {
+// waitForBrokenRuns waits for n log lines about broken runs.
+func waitForBrokenRuns(t *testing.T, log *syncBuffer, n int) []brokenRunLine {
 	t.Helper()
 	for range 500 {
-		var found []brokenLine
+		var found []brokenRunLine
 		for text := range strings.Lines(log.String()) {
-			var line brokenLine
+			var line brokenRunLine
 			if json.Unmarshal([]byte(text), &line) == nil && line.Event == eventRunBroken.Number {
 				found = append(found, line)
 			}
@@ -34,13 +34,13 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("no %d lines about broken runs:\n%s", n, log.String())
+	t.Fatalf("fewer than %d lines about broken runs:\n%s", n, log.String())
 	return nil
 }
 
-// breakingTarget breaks every request's connection; one that ends stops listening
-// before.
-func breakingTarget(t *testing.T, ends bool) string {
+// newBreakingTarget starts a target that breaks the connection of every request. If
+// ends is set, it stops listening before that, as after a crash.
+func newBreakingTarget(t *testing.T, ends bool) string {
 	var s *httptest.Server
 	s = httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		if ends {
@@ -52,19 +52,19 @@
 	return s.Listener.Addr().String()
 }
 
-func TestBrokenRunsTellRequestAndTarget(t *testing.T) {
+func TestBrokenRunsAreLogged(t *testing.T) {
 	var log syncBuffer
-	ending, breaking := breakingTarget(t, true), breakingTarget(t, false)
-	b := newBench(t, document(ending, breaking), nil, newTestLogger(&log))
+	ending, breaking := newBreakingTarget(t, true), newBreakingTarget(t, false)
+	b := newTestProxy(t, testDocument(ending, breaking), nil, newTestLogger(&log))
 	resp, _, err := b.call(t, "POST", "/svc/a?q=1", strings.NewReader("body"), "Masticturn-No-Retry", "1")
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Fatal(resp, err)
 	}
-	awaitBroken(t, &log, 1)
+	waitForBrokenRuns(t, &log, 1)
 	if _, _, err := b.call(t, "POST", "/svc/a?q=1", strings.NewReader("body"), "Masticturn-No-Retry", "1", "X-Request-Id", "another"); err != nil {
 		t.Fatal(err)
 	}
-	lines := awaitBroken(t, &log, 2)
+	lines := waitForBrokenRuns(t, &log, 2)
 	_, port, _ := net.SplitHostPort(strings.TrimPrefix(b.URL, "http://"))
 	want := digest.HeadOf("POST", "127.0.0.1:"+port, "/svc/a?q=1", "", "").Of([]byte("body")).String()
 	for i, state := range []targetState{targetEnded, targetListening} {
--- a/internal/forward/budget.go
+++ b/internal/forward/budget.go
@@ -7,55 +7,56 @@
 	"masticturn/internal/config"
 )
 
-// tokenUnit is one retry, in thousandths, so that fractions can be added.
-const tokenUnit = 1000
+// tokensPerRetry is the price of one retry. Deposits are fractions of it.
+const tokensPerRetry = 1000
 
-// bucket holds retry tokens: first attempts add a fraction, retries take one. It starts full.
+// bucket is a token bucket for retries: attempts deposit the fraction BudgetFraction of a retry, retries
+// withdraw one. It starts full.
 type bucket struct{ tokens atomic.Int64 }
 
 func newBucket(r *config.Retry) *bucket {
 	b := &bucket{}
-	b.tokens.Store(most(r))
+	b.tokens.Store(maxTokens(r))
 	return b
 }
 
-// most is how many tokens may be saved up.
-func most(r *config.Retry) int64 { return int64(r.BudgetBurst * tokenUnit) }
+// maxTokens returns the capacity of a bucket in tokens.
+func maxTokens(r *config.Retry) int64 { return int64(r.BudgetBurst * tokensPerRetry) }
 
 func (b *bucket) deposit(r *config.Retry) {
-	if b.tokens.Load() < most(r) {
-		b.tokens.Add(int64(r.BudgetFraction * tokenUnit))
+	if b.tokens.Load() < maxTokens(r) {
+		b.tokens.Add(int64(r.BudgetFraction * tokensPerRetry))
 	}
 }
 
 func (b *bucket) withdraw() bool {
-	if b.tokens.Add(-tokenUnit) >= 0 {
+	if b.tokens.Add(-tokensPerRetry) >= 0 {
 		return true
 	}
-	b.tokens.Add(tokenUnit)
+	b.tokens.Add(tokensPerRetry)
 	return false
 }
 
-// budget limits retries and hedges to a fraction of the first attempts, per service and per target
-// that causes them.
-type budget struct {
+// retryBudget limits retries and hedges to a fraction of the requests, per service, and of the attempts,
+// per target that causes them.
+type retryBudget struct {
 	services sync.Map // service name -> *bucket
 	targets  sync.Map // target name -> *bucket
 }
 
-// attempted counts a first attempt for a service.
-func (b *budget) attempted(service string, r *config.Retry) {
+// depositForService deposits for the first attempt of a request to a service.
+func (b *retryBudget) depositForService(service string, r *config.Retry) {
 	bucketOf(&b.services, service, r).deposit(r)
 }
 
-// attemptedAt counts an attempt at a target.
-func (b *budget) attemptedAt(target string, r *config.Retry) {
+// depositForTarget deposits for an attempt at a target.
+func (b *retryBudget) depositForTarget(target string, r *config.Retry) {
 	bucketOf(&b.targets, target, r).deposit(r)
 }
 
-// spend takes one retry caused by a target; false if the budget is exhausted. An empty target has
-// caused nothing.
-func (b *budget) spend(service, target string, r *config.Retry) bool {
+// withdraw takes one retry caused by a target; false if the budget is exhausted. If target is empty,
+// only the service's budget is charged.
+func (b *retryBudget) withdraw(service, target string, r *config.Retry) bool {
 	s := bucketOf(&b.services, service, r)
 	if target == "" {
 		return s.withdraw()
@@ -67,14 +68,14 @@
 	if s.withdraw() {
 		return true
 	}
-	t.tokens.Add(tokenUnit)
+	t.tokens.Add(tokensPerRetry)
 	return false
 }
 
-// available reports whether spend would succeed now.
-func (b *budget) available(service, target string, r *config.Retry) bool {
-	return bucketOf(&b.services, service, r).tokens.Load() >= tokenUnit &&
-		bucketOf(&b.targets, target, r).tokens.Load() >= tokenUnit
+// available reports whether withdraw would succeed now.
+func (b *retryBudget) available(service, target string, r *config.Retry) bool {
+	return bucketOf(&b.services, service, r).tokens.Load() >= tokensPerRetry &&
+		bucketOf(&b.targets, target, r).tokens.Load() >= tokensPerRetry
 }
 
 func bucketOf(m *sync.Map, name string, r *config.Retry) *bucket {
@@ -85,8 +86,8 @@
 	return v.(*bucket)
 }
 
-// keep forgets the targets for which known is false.
-func (b *budget) keep(known func(target string) bool) {
+// retain drops the targets for which known is false.
+func (b *retryBudget) retain(known func(target string) bool) {
 	b.targets.Range(func(k, _ any) bool {
 		if !known(k.(string)) {
 			b.targets.Delete(k)
--- a/internal/forward/callers_test.go
+++ b/internal/forward/callers_test.go
@@ -50,11 +50,11 @@
 	}
 }
 
-// newService starts a callers' listener over the document.
+// newService starts a Service with the given configuration.
 func newService(t *testing.T, c *changingConfig) *Service {
 	t.Helper()
 	h := NewHandler(Deps{
-		Config: c, Admission: &roundRobin{}, Locator: c, Measure: c, Dial: (&net.Dialer{}).DialContext,
+		Config: c, Admission: &roundRobinAdmitter{}, Locator: c, Measure: c, Dial: (&net.Dialer{}).DialContext,
 		Logger: telemetry.Discard(), Metrics: metrics.NewSet(), VM: settings.VM{Name: "vm1"}, Clock: kernel.SystemClock{},
 	})
 	s := NewService(ServiceDeps{Handler: h, Listen: "127.0.0.1:0", Config: c, Logger: telemetry.Discard()})
@@ -69,9 +69,9 @@
 	return s
 }
 
-// raw sends bytes on a new connection and returns the status of the answer, 0
-// when the connection was closed without one.
-func raw(t *testing.T, address, request string) int {
+// sendRaw sends bytes on a new connection and returns the status of the response; 0
+// if the connection was closed without one.
+func sendRaw(t *testing.T, address, request string) int {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -89,21 +89,21 @@
 func TestCallersLimitsFollowTheDocument(t *testing.T) {
 	address := newTarget(t, func(http.ResponseWriter, *http.Request) {})
 	c := &changingConfig{}
-	doc := document(address)
+	doc := testDocument(address)
 	c.set(t, doc)
 	s := newService(t, c)
 	large := "GET /svc/a HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", 20<<10) + "\r\n\r\n"
-	if got := raw(t, s.Address(), large); got != http.StatusOK {
+	if got := sendRaw(t, s.Address(), large); got != http.StatusOK {
 		t.Errorf("before: got %d", got)
 	}
-	changed := document(address)
+	changed := testDocument(address)
 	changed.Limits.MaxHeaderBytes = 1 << 10
 	changed.Limits.HeaderTimeoutMS = 50
 	c.set(t, changed)
-	if got := raw(t, s.Address(), large); got != http.StatusRequestHeaderFieldsTooLarge {
+	if got := sendRaw(t, s.Address(), large); got != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("large header: got %d", got)
 	}
-	if got := raw(t, s.Address(), "GET /svc/a HTTP/1.1\r\nHo"); got != http.StatusBadRequest && got != 0 {
+	if got := sendRaw(t, s.Address(), "GET /svc/a HTTP/1.1\r\nHo"); got != http.StatusBadRequest && got != 0 {
 		t.Errorf("slow header: got %d", got)
 	}
 }
@@ -111,7 +111,7 @@
 func TestConnectionsOfOneAddressAreBounded(t *testing.T) {
 	address := newTarget(t, func(http.ResponseWriter, *http.Request) {})
 	c := &changingConfig{}
-	doc := document(address)
+	doc := testDocument(address)
 	doc.Limits.MaxConnectionsPerAddr = 2
 	c.set(t, doc)
 	s := newService(t, c)
@@ -129,28 +129,28 @@
 		}
 		open = append(open, conn)
 	}
-	if got := raw(t, s.Address(), request); got != 0 {
+	if got := sendRaw(t, s.Address(), request); got != 0 {
 		t.Errorf("a third connection was served: %d", got)
 	}
 	open[0].Close()
-	for raw(t, s.Address(), request) != http.StatusOK {
+	for sendRaw(t, s.Address(), request) != http.StatusOK {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Shapes in which two readers see different requests are refused, or taken as
-// one request.
-func TestSmugglingShapesAreRefused(t *testing.T) {
+// Requests that two parsers may split differently (request smuggling) are rejected, or
+// forwarded as one request.
+func TestRequestSmugglingIsRejected(t *testing.T) {
 	var runs atomic.Int32
 	address := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 		runs.Add(1)
 		if r.URL.Path != "/svc/a" {
-			t.Errorf("the target was asked for %s", r.URL.Path)
+			t.Errorf("the target got a request for %s", r.URL.Path)
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 	})
 	c := &changingConfig{}
-	c.set(t, document(address))
+	c.set(t, testDocument(address))
 	s := newService(t, c)
 	const smuggled = "GET /svc/smuggled HTTP/1.1\r\nHost: x\r\n\r\n"
 	tests := []struct{ name, head string }{
@@ -166,14 +166,14 @@
 	}
 	for _, tt := range tests {
 		request := "POST /svc/a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n" + tt.head + "\r\n" + smuggled
-		if got := raw(t, s.Address(), request); got == http.StatusOK {
-			t.Errorf("%s: it was served", tt.name)
+		if got := sendRaw(t, s.Address(), request); got == http.StatusOK {
+			t.Errorf("%s: the request was served", tt.name)
 		}
 	}
-	// A length besides chunks is dropped by the reader; chunks rule, and the
-	// target sees one request.
-	raw(t, s.Address(), "POST /svc/a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+smuggled)
-	if got := raw(t, s.Address(), "GET /svc/a HTTP/1.0\r\n\r\n"); got != http.StatusHTTPVersionNotSupported {
+	// With both headers, net/http ignores Content-Length in favor of chunked encoding,
+	// and the target gets one request.
+	sendRaw(t, s.Address(), "POST /svc/a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+smuggled)
+	if got := sendRaw(t, s.Address(), "GET /svc/a HTTP/1.0\r\n\r\n"); got != http.StatusHTTPVersionNotSupported {
 		t.Errorf("HTTP/1.0: got %d", got)
 	}
 }
@@ -189,7 +189,7 @@
 		h.Set("X-Private", "1")
 		h.Set("X-Public", "1")
 	})
-	b := newBench(t, document(address), nil, telemetry.Discard())
+	b := newTestProxy(t, testDocument(address), nil, telemetry.Discard())
 	resp, _, err := b.call(t, "GET", "/svc/a", nil,
 		"Masticturn-Not-Run", "1", edge.HeaderTargetDeadlineMS, "999999", "Te", "trailers", "Proxy-Authorization", "secret",
 		"Upgrade", "websocket", "Connection", "X-Hop", "X-Hop", "1", "X-End", "1")
@@ -210,7 +210,7 @@
 	}
 }
 
-// A drain and a change of the document cut nothing.
+// A drain and a change of the document don't abort requests in flight.
 func TestDrainAndChangeWaitForWhatIsInFlight(t *testing.T) {
 	release := make(chan struct{})
 	began := make(chan struct{}, 1)
@@ -221,11 +221,11 @@
 		fmt.Fprint(w, n)
 	})
 	c := &changingConfig{}
-	c.set(t, document(address))
+	c.set(t, testDocument(address))
 	s := newService(t, c)
 	answer := make(chan string, 1)
 	go func() {
-		resp, err := http.Post("http://"+s.Address()+"/svc/a", "", io.LimitReader(endless{}, uploadBytes))
+		resp, err := http.Post("http://"+s.Address()+"/svc/a", "", io.LimitReader(endlessReader{}, uploadBytes))
 		if err != nil {
 			answer <- err.Error()
 			return
@@ -235,13 +235,13 @@
 		answer <- string(body) + " " + resp.Header.Get("Connection")
 	}()
 	<-began
-	without := document()
-	without.Limits.MaxHeaderBytes = 2 << 10
-	c.set(t, without) // the target leaves the document, the limits change
+	emptied := testDocument()
+	emptied.Limits.MaxHeaderBytes = 2 << 10
+	c.set(t, emptied) // the target is removed and the limits change
 	s.CloseConnections()
-	short, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if err := s.Drain(short); !errors.Is(err, context.DeadlineExceeded) {
+	if err := s.Drain(shortCtx); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("the drain ended with %v while an upload was in flight", err)
 	}
 	close(release)
@@ -253,19 +253,19 @@
 	}
 }
 
-// refusing is an admission that gives up at once.
-type refusing struct{ calls atomic.Int32 }
+// refusingAdmitter refuses all requests at once.
+type refusingAdmitter struct{ calls atomic.Int32 }
 
-func (a *refusing) Acquire(context.Context, *admission.Request) (admission.Permit, error) {
+func (a *refusingAdmitter) Acquire(context.Context, *admission.Request) (admission.Permit, error) {
 	a.calls.Add(1)
 	return nil, &outcome.Error{Outcome: outcome.NotRun, Step: outcome.StepAdmit, Reason: "full", RetryAfter: 1500 * time.Millisecond}
 }
 
-// What admission has given up is told at once, with its advice, and not tried
-// again; without a document nothing is tried at all.
+// A refusal by admission is returned at once, with its Retry-After, and not retried.
+// Without a document, admission is not called.
 func TestGivenUpIsToldAtOnce(t *testing.T) {
 	c := &changingConfig{}
-	a := &refusing{}
+	a := &refusingAdmitter{}
 	h := NewHandler(Deps{
 		Config: c, Admission: a, Locator: c, Measure: c, Logger: telemetry.Discard(),
 		Metrics: metrics.NewSet(), VM: settings.VM{Name: "vm1"}, Clock: kernel.SystemClock{},
@@ -284,6 +284,6 @@
 		if got.Get("Retry-After") != tt.retryAfter || a.calls.Load() != tt.calls {
 			t.Errorf("%s: Retry-After %q after %d calls", tt.step, got.Get("Retry-After"), a.calls.Load())
 		}
-		c.set(t, document("127.0.0.1:1"))
+		c.set(t, testDocument("127.0.0.1:1"))
 	}
 }
--- a/internal/forward/customer.go
+++ b/internal/forward/customer.go
@@ -10,41 +10,43 @@
 	"masticturn/internal/outcome"
 )
 
-// keysRefusedRetryAfter is the Retry-After while keys can't be checked here. Other VMs may be able to.
+// keysRefusedRetryAfter is the Retry-After while API keys can't be checked here; other VMs may be able
+// to check them.
 const keysRefusedRetryAfter = 100 * time.Millisecond
 
-// keysAreCurrent reports whether keys may be used. It must be called before the document is loaded.
+// keysAreCurrent reports whether API keys are accepted. It must be called before the document is loaded.
 func (h *Handler) keysAreCurrent() bool {
 	return h.deps.KeyGuard == nil || h.deps.KeyGuard.Current()
 }
 
-// identify finds the customer of the request, whose class and regions bind besides the rule's.
-func (x *exchange) identify() *outcome.Error {
+// identifyCustomer finds the customer of the request by its API key and applies the customer's class
+// and regions to the match.
+func (x *exchange) identifyCustomer() *outcome.Error {
 	directory := x.snap.Customers
 	if !directory.Required() || x.match.Rule == nil || x.match.Rule.Public {
 		return nil
 	}
 	if !x.keysCurrent {
-		err := refuse(outcome.StepIdentify, http.StatusServiceUnavailable, "the document is too old to accept keys")
+		err := notRunError(outcome.StepIdentify, http.StatusServiceUnavailable, "the document is too old to accept keys")
 		err.RetryAfter = keysRefusedRetryAfter
 		return err
 	}
 	c := directory.ByKey(x.customerKey())
 	if c == nil {
-		return refuse(outcome.StepIdentify, http.StatusUnauthorized, "a valid key is required here")
+		return notRunError(outcome.StepIdentify, http.StatusUnauthorized, "a valid key is required here")
 	}
 	x.customer = c
 	var ok bool
 	if x.match, ok = x.snap.ForCustomer(x.match, c); !ok {
-		err := refuse(outcome.StepIdentify, http.StatusServiceUnavailable, "no region is allowed by both route and customer")
+		err := notRunError(outcome.StepIdentify, http.StatusServiceUnavailable, "no region is allowed by both route and customer")
 		err.RetryAfter = time.Second
 		return err
 	}
 	return nil
 }
 
-// takeLimit takes the request from its customer's rate limit.
-func (x *exchange) takeLimit() *outcome.Error {
+// checkRateLimit takes one request from the customer's rate limit.
+func (x *exchange) checkRateLimit() *outcome.Error {
 	if x.customer == nil || x.h.deps.Limiter == nil {
 		return nil
 	}
@@ -54,15 +56,15 @@
 	if refusal == nil {
 		return nil
 	}
-	err := refuse(outcome.StepLimit, http.StatusTooManyRequests, "the customer's rate limit is reached")
+	err := notRunError(outcome.StepLimit, http.StatusTooManyRequests, "the customer's rate limit is reached")
 	if !refusal.Over {
-		err = refuse(outcome.StepLimit, http.StatusServiceUnavailable, "the customer's rate limit can't be checked here now")
+		err = notRunError(outcome.StepLimit, http.StatusServiceUnavailable, "the customer's rate limit can't be checked here now")
 	}
 	err.RetryAfter = refusal.RetryAfter
 	return err
 }
 
-// customerKey returns the request's key; "" if there is none, or more than one.
+// customerKey returns the request's API key; "" if there is none, or more than one.
 func (x *exchange) customerKey() string {
 	keys := x.r.Header[x.h.deps.Dialect.CustomerKey]
 	if len(keys) != 1 {
@@ -71,8 +73,8 @@
 	return keys[0]
 }
 
-// trailerFilter removes internal headers from a caller's trailer when the body ends, as they arrive
-// after the request's head was built.
+// trailerFilter removes internal headers from a caller's trailer at the end of the body. Trailers arrive
+// after the head of the outgoing request was built.
 type trailerFilter struct {
 	io.ReadCloser
 	trailer  http.Header
@@ -98,26 +100,26 @@
 
 var _ io.ReadCloser = (*trailerFilter)(nil)
 
-// maxCustomerSeries bounds the customers with metrics of their own; others share one.
+// maxCustomerSeries is the number of customers with metrics of their own. All others share a label.
 const maxCustomerSeries = 256
 
-// otherCustomers is the label of customers without metrics of their own.
+// otherCustomers is the label shared by customers without metrics of their own.
 const otherCustomers = "(other)"
 
-// label returns the name of a customer in metrics.
-func (c *seriesCache) label(one *customer.Customer) string {
-	if one == nil {
+// customerLabel returns the metric label of a customer.
+func (c *seriesCache) customerLabel(cust *customer.Customer) string {
+	if cust == nil {
 		return ""
 	}
-	if _, ok := c.customers.Load(one.Name); ok {
-		return one.Name
+	if _, ok := c.customerLabels.Load(cust.Name); ok {
+		return cust.Name
 	}
 	if c.customerCount.Add(1) > maxCustomerSeries {
 		c.customerCount.Add(-1)
 		return otherCustomers
 	}
-	if _, loaded := c.customers.LoadOrStore(one.Name, true); loaded {
+	if _, loaded := c.customerLabels.LoadOrStore(cust.Name, true); loaded {
 		c.customerCount.Add(-1)
 	}
-	return one.Name
+	return cust.Name
 }
--- a/internal/forward/customer_test.go
+++ b/internal/forward/customer_test.go
@@ -13,19 +13,19 @@
 	"masticturn/internal/ratelimit"
 )
 
-// fixedGuard says whether keys may be used.
-type fixedGuard bool
+// fakeKeyGuard is a KeyGuard with a fixed answer.
+type fakeKeyGuard bool
 
-func (g fixedGuard) Current() bool { return bool(g) }
+func (g fakeKeyGuard) Current() bool { return bool(g) }
 
-// fixedLimiter refuses all requests, or none.
-type fixedLimiter struct{ refusal *ratelimit.Refusal }
+// fakeLimiter returns the same refusal for all requests; nil allows them.
+type fakeLimiter struct{ refusal *ratelimit.Refusal }
 
-func (l fixedLimiter) Take(context.Context, *customer.Customer) *ratelimit.Refusal { return l.refusal }
+func (l fakeLimiter) Take(context.Context, *customer.Customer) *ratelimit.Refusal { return l.refusal }
 
-// customerDocument routes "/svc/" to customers and "/open/" to everybody.
+// customerDocument requires a customer for "/svc/" but not for "/open/".
 func customerDocument(target string) *config.Document {
-	doc := document(target)
+	doc := testDocument(target)
 	doc.Classes = append(doc.Classes, config.Class{Name: "gold"})
 	parts := []config.Part{{Service: "svc", Weight: 1}}
 	doc.Hosts = []config.Host{{Name: "127.0.0.1", Rules: []config.Rule{
@@ -35,7 +35,7 @@
 	return doc
 }
 
-// testCustomers are "acme" and, with regions of its own, "abroad".
+// testCustomers returns "acme" and "abroad", which is allowed in other regions only.
 func testCustomers() *customer.Directory {
 	return customer.NewDirectory([]customer.Customer{
 		{Name: "acme", Keys: []customer.KeyDigest{customer.DigestOf("key-a")}, Class: "gold"},
@@ -43,8 +43,9 @@
 	})
 }
 
-// newCustomerBench returns a bench with customers, and the headers and trailers that its target got.
-func newCustomerBench(t *testing.T) (b *bench, log *syncBuffer, got func() http.Header) {
+// newCustomerProxy returns a proxy with customers and its log. got returns the headers and trailers of
+// the next request that the target has received; nil if there is none.
+func newCustomerProxy(t *testing.T) (b *testProxy, log *syncBuffer, got func() http.Header) {
 	received := make(chan http.Header, 16)
 	target := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -57,9 +58,9 @@
 		_, _ = io.WriteString(w, "ok")
 	})
 	log = &syncBuffer{}
-	b = newBench(t, customerDocument(target), nil, newTestLogger(log))
+	b = newTestProxy(t, customerDocument(target), nil, newTestLogger(log))
 	b.handler.deps.Config.Current().Customers = testCustomers()
-	d := foreign()
+	d := foreignDialect()
 	d.CustomerKey, d.TargetCustomer = "Their-Key", "Their-Customer"
 	d.Internal = func(name string) bool { return name == "Their-Key" || name == "Their-Customer" }
 	b.handler.deps.Dialect = d
@@ -73,30 +74,30 @@
 	}
 }
 
-func TestKeysNameCustomers(t *testing.T) {
+func TestAPIKeyIdentifiesCustomer(t *testing.T) {
 	tests := map[string]struct {
 		path     string
 		header   []string
 		status   int
-		customer string // that the target learns
+		customer string // name sent to the target
 	}{
-		"a key":                        {"/svc/a", []string{"Their-Key", "key-a"}, 200, "acme"},
-		"in other letters":             {"/svc/a", []string{"THEIR-KEY", "key-a"}, 200, "acme"},
-		"a made-up name":               {"/svc/a", []string{"Their-Key", "key-a", "their-customer", "other"}, 200, "acme"},
-		"no key":                       {"/svc/a", nil, 401, ""},
-		"an unknown key":               {"/svc/a", []string{"Their-Key", "key-x"}, 401, ""},
-		"an empty key":                 {"/svc/a", []string{"Their-Key", " "}, 401, ""},
-		"no region in common":          {"/svc/a", []string{"Their-Key", "key-b"}, 503, ""},
-		"public":                       {"/open/a", nil, 200, ""},
-		"public with a key":            {"/open/a", []string{"Their-Key", "key-a"}, 200, ""},
-		"public with a made-up name":   {"/open/a", []string{"Their-Customer", "acme"}, 200, ""},
-		"public with an unknown key":   {"/open/a", []string{"Their-Key", "key-x"}, 200, ""},
-		"no route goes before no key":  {"/none/", nil, 404, ""},
-		"named as a connection header": {"/svc/a", []string{"Their-Key", "key-a", "Connection", "Their-Customer"}, 200, "acme"},
+		"a key":                           {"/svc/a", []string{"Their-Key", "key-a"}, 200, "acme"},
+		"in upper case":                   {"/svc/a", []string{"THEIR-KEY", "key-a"}, 200, "acme"},
+		"a forged name":                   {"/svc/a", []string{"Their-Key", "key-a", "their-customer", "other"}, 200, "acme"},
+		"no key":                          {"/svc/a", nil, 401, ""},
+		"an unknown key":                  {"/svc/a", []string{"Their-Key", "key-x"}, 401, ""},
+		"an empty key":                    {"/svc/a", []string{"Their-Key", " "}, 401, ""},
+		"no region in common":             {"/svc/a", []string{"Their-Key", "key-b"}, 503, ""},
+		"public":                          {"/open/a", nil, 200, ""},
+		"public with a key":               {"/open/a", []string{"Their-Key", "key-a"}, 200, ""},
+		"public with a forged name":       {"/open/a", []string{"Their-Customer", "acme"}, 200, ""},
+		"public with an unknown key":      {"/open/a", []string{"Their-Key", "key-x"}, 200, ""},
+		"no route and no key":             {"/none/", nil, 404, ""},
+		"listed in the Connection header": {"/svc/a", []string{"Their-Key", "key-a", "Connection", "Their-Customer"}, 200, "acme"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			b, log, got := newCustomerBench(t)
+			b, log, got := newCustomerProxy(t)
 			header := append([]string{"Their-Id", "id-1"}, tt.header...)
 			resp, _, err := b.call(t, "GET", tt.path, nil, header...)
 			if err != nil || resp.StatusCode != tt.status {
@@ -110,7 +111,7 @@
 				t.Error("the target got the key")
 			}
 			if v := strings.Join(received["Their-Customer"], ","); v != tt.customer {
-				t.Errorf("the target learns of customer %q, want %q", v, tt.customer)
+				t.Errorf("the target got customer %q, want %q", v, tt.customer)
 			}
 			if strings.Contains(log.String(), "key-") {
 				t.Error("a key is in the log")
@@ -119,8 +120,8 @@
 	}
 }
 
-func TestTwoKeysAreNone(t *testing.T) {
-	b, _, got := newCustomerBench(t)
+func TestTwoAPIKeysAreRejected(t *testing.T) {
+	b, _, got := newCustomerProxy(t)
 	req, _ := http.NewRequest("GET", b.URL+"/svc/a", nil)
 	req.Header["Their-Key"] = []string{"key-a", "key-b"}
 	resp, err := b.client.Do(req)
@@ -133,9 +134,10 @@
 	}
 }
 
-// Trailers arrive after the head was sent to the target.
-func TestTrailersOfCallersNameNoCustomer(t *testing.T) {
-	b, _, got := newCustomerBench(t)
+// Trailers arrive after the head was sent to the target, so they are filtered
+// separately.
+func TestCallerTrailersCannotSetCustomer(t *testing.T) {
+	b, _, got := newCustomerProxy(t)
 	req, _ := http.NewRequest("POST", b.URL+"/svc/a", io.NopCloser(strings.NewReader(strings.Repeat("x", 200<<10))))
 	req.Header.Set("Their-Id", "id-1")
 	req.Header.Set("Their-Key", "key-a")
@@ -152,8 +154,8 @@
 }
 
 func TestKeysOfAnOldDocumentAreRefusedAsNotRun(t *testing.T) {
-	b, _, got := newCustomerBench(t)
-	b.handler.deps.KeyGuard = fixedGuard(false)
+	b, _, got := newCustomerProxy(t)
+	b.handler.deps.KeyGuard = fakeKeyGuard(false)
 	for _, key := range []string{"key-a", "key-x"} {
 		resp, _, _ := b.call(t, "POST", "/svc/a", strings.NewReader("x"), "Their-Id", "id-1", "Their-Key", key)
 		if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || got() != nil {
@@ -175,8 +177,8 @@
 		{&ratelimit.Refusal{RetryAfter: 200 * time.Millisecond}, 503, "0.200"},
 		{nil, 200, ""},
 	} {
-		b, _, got := newCustomerBench(t)
-		b.handler.deps.Limiter = fixedLimiter{tt.refusal}
+		b, _, got := newCustomerProxy(t)
+		b.handler.deps.Limiter = fakeLimiter{tt.refusal}
 		resp, _, _ := b.call(t, "POST", "/svc/a", strings.NewReader("x"), "Their-Id", "id-1", "Their-Key", "key-a")
 		if resp.StatusCode != tt.status || resp.Header.Get("Retry-After") != tt.after || (got() != nil) != (tt.status == 200) {
 			t.Errorf("status %d, Retry-After %q; want %d, %q", resp.StatusCode, resp.Header.Get("Retry-After"), tt.status, tt.after)
@@ -184,31 +186,31 @@
 	}
 }
 
-// The customer, not its key, is part of what identifies a request.
-func TestRequestsOfCustomersDiffer(t *testing.T) {
-	b, _, _ := newCustomerBench(t)
+// The digest of the head contains the customer's name, not its API key.
+func TestHeadDigestDependsOnCustomer(t *testing.T) {
+	b, _, _ := newCustomerProxy(t)
 	digestOf := func(c *customer.Customer, key string) string {
 		r, _ := http.NewRequest("GET", "http://h/svc/a", nil)
 		r.Header.Set("Their-Key", key)
 		x := exchange{h: b.handler, r: r, customer: c}
-		return x.headDigest().Key().String()
+		return x.computeHeadDigest().Key().String()
 	}
 	a, other := &customer.Customer{Name: "a"}, &customer.Customer{Name: "b"}
 	if digestOf(a, "k1") == digestOf(other, "k1") || digestOf(a, "k1") != digestOf(a, "k2") {
-		t.Error("requests are not told apart by their customers alone")
+		t.Error("the digest does not depend on the customer alone")
 	}
 }
 
 func TestMetricsOfCustomersAreBounded(t *testing.T) {
-	b, _, _ := newCustomerBench(t)
+	b, _, _ := newCustomerProxy(t)
 	series := b.handler.series
 	for i := range 3 * maxCustomerSeries {
-		series.label(&customer.Customer{Name: strings.Repeat("c", i+1)})
+		series.customerLabel(&customer.Customer{Name: strings.Repeat("c", i+1)})
 	}
-	if got := series.label(&customer.Customer{Name: "new"}); got != otherCustomers {
+	if got := series.customerLabel(&customer.Customer{Name: "new"}); got != otherCustomers {
 		t.Errorf("label %q", got)
 	}
-	if got := series.label(&customer.Customer{Name: "c"}); got != "c" {
+	if got := series.customerLabel(&customer.Customer{Name: "c"}); got != "c" {
 		t.Errorf("label %q of the first customer", got)
 	}
 }
--- a/internal/forward/dialect_test.go
+++ b/internal/forward/dialect_test.go
@@ -15,8 +15,8 @@
 	"masticturn/internal/telemetry"
 )
 
-// foreign is a dialect unlike the system's own.
-func foreign() *edge.Dialect {
+// foreignDialect returns a dialect that differs from edge.Native.
+func foreignDialect() *edge.Dialect {
 	return &edge.Dialect{
 		RequestID:          "Their-Id",
 		CallerTimeoutMS:    "Their-Deadline-Ms",
@@ -33,9 +33,9 @@
 	}
 }
 
-func newForeignBench(t *testing.T, doc *config.Document) *bench {
-	b := newBench(t, doc, nil, telemetry.Discard())
-	b.handler.deps.Dialect = foreign()
+func newForeignProxy(t *testing.T, doc *config.Document) *testProxy {
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
+	b.handler.deps.Dialect = foreignDialect()
 	return b
 }
 
@@ -47,9 +47,9 @@
 		w.Header().Set("Their-Receipt", "signed")
 		_, _ = io.WriteString(w, "ok")
 	})
-	doc := document(target)
+	doc := testDocument(target)
 	doc.Services[0].Targets[0].Instance = "instance-7"
-	b := newForeignBench(t, doc)
+	b := newForeignProxy(t, doc)
 	resp, body, err := b.call(t, "GET", "/svc/a", nil,
 		"Their-Id", "id-1", "Their-Deadline-Ms", "1500", "Their-Object", "o", "Their-Expected", "forged")
 	if err != nil || body != "ok" || resp.Header.Get("Their-Receipt") != "signed" {
@@ -59,41 +59,41 @@
 		t.Errorf("the target got %v", got)
 	}
 	if left := got.Get("Their-Deadline-Ms"); left == "" || len(left) > 4 || left > "1500" {
-		t.Errorf("the target has %q ms, the caller 1500", left)
+		t.Errorf("the target's deadline is %q ms, the caller's 1500", left)
 	}
 	for name := range resp.Header {
 		if strings.HasPrefix(name, edge.InternalHeaderPrefix) {
-			t.Errorf("the answer carries %s, which the dialect does not have", name)
+			t.Errorf("the response has header %s, which is not in the dialect", name)
 		}
 	}
 }
 
-// An answer that ends with its connection is whole only when the connection
-// ends in order.
+// A response that is delimited by the end of its connection is complete only if the
+// connection is closed cleanly.
 func TestUndelimitedAnswers(t *testing.T) {
-	long := strings.Repeat("x", 3*bufferBytes)
+	long := strings.Repeat("x", 3*relayBufferBytes)
 	for _, size := range []int{0, 10, len(long)} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d bytes, reset %t", size, reset), func(t *testing.T) {
 				target := newScripted(t)
 				target.set(script{readBytes: -1, writeBytes: -1, reset: reset, answer: "HTTP/1.1 200 OK\r\n\r\n" + long[:size]})
-				b := newForeignBench(t, oneAttempt(closing(t, target.address, reset)))
+				b := newForeignProxy(t, singleAttemptDocument(newClosingRelay(t, target.address, reset)))
 				resp, body, err := b.call(t, "GET", "/svc/a", nil)
 				whole := err == nil && resp != nil && resp.StatusCode == http.StatusOK
 				if !reset && (!whole || len(body) != size) {
 					t.Errorf("got %d bytes, error %v", len(body), err)
 				}
 				if reset && whole {
-					t.Errorf("an answer that was cut looks whole, with %d bytes", len(body))
+					t.Errorf("a truncated response of %d bytes was relayed as complete", len(body))
 				}
 			})
 		}
 	}
 }
 
-// closing returns the address of a relay that ends each connection after the
-// target's answer, in order or by a reset.
-func closing(t *testing.T, target string, reset bool) string {
+// newClosingRelay returns the address of a relay that closes each connection after the
+// target's response, cleanly or by a reset.
+func newClosingRelay(t *testing.T, target string, reset bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,43 +102,43 @@
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
-			near, err := l.Accept()
+			client, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go relayOnce(near.(*net.TCPConn), target, reset)
+			go relayOnce(client.(*net.TCPConn), target, reset)
 		}
 	}()
 	return l.Addr().String()
 }
 
-const quietFor = 50 * time.Millisecond // after it the target's answer is over
+const relayReadTimeout = 50 * time.Millisecond // without data for this long, the response is complete
 
-func relayOnce(near *net.TCPConn, target string, reset bool) {
-	far, err := net.Dial("tcp", target)
+func relayOnce(client *net.TCPConn, target string, reset bool) {
+	upstream, err := net.Dial("tcp", target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	go func() { _, _ = io.Copy(far, near) }()
+	go func() { _, _ = io.Copy(upstream, client) }()
 	buf := make([]byte, 64<<10)
 	for {
-		_ = far.SetReadDeadline(time.Now().Add(quietFor))
-		n, err := far.Read(buf)
-		_, _ = near.Write(buf[:n])
+		_ = upstream.SetReadDeadline(time.Now().Add(relayReadTimeout))
+		n, err := upstream.Read(buf)
+		_, _ = client.Write(buf[:n])
 		if err != nil && n == 0 {
 			break
 		}
 	}
 	if reset {
-		_ = near.SetLinger(0)
+		_ = client.SetLinger(0)
 	}
-	_ = near.Close()
-	_ = far.Close()
+	_ = client.Close()
+	_ = upstream.Close()
 }
 
-// Whatever the status, a target that says that it did not run a request leaves
-// it to be run elsewhere, also one that must not run twice.
+// A target can report with any status that it did not run a request. The request is
+// then sent to another target, even if it is not repeatable.
 func TestNotRunByAnyStatus(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest} {
 		for _, method := range []string{"GET", "POST"} {
@@ -147,7 +147,7 @@
 				w.WriteHeader(status)
 			})
 			good := newTarget(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
-			b := newForeignBench(t, document(refusing, good))
+			b := newForeignProxy(t, testDocument(refusing, good))
 			resp, body, err := b.call(t, method, "/svc/a", nil)
 			if err != nil || resp.StatusCode != http.StatusOK || body != "ok" {
 				t.Errorf("%s %d: got %v %q %v", method, status, resp, body, err)
@@ -161,16 +161,15 @@
 	}
 }
 
-// A refusal without such a word may have run: it is not sent once more when it
-// must not run twice.
-// Another instance than the one that was named has run nothing, whether or not it
-// marks its answer; the caller is not told of the mistake.
+// If a target's address belongs to another instance than expected, the request has
+// not been run, with or without a header that says so. It is sent to another target
+// and the 421 response is not relayed.
 func TestUnmarkedAnswerOfAnotherInstanceIsNotRelayed(t *testing.T) {
 	moved := newTarget(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) })
 	good := newTarget(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
-	doc := document(moved, good)
+	doc := testDocument(moved, good)
 	doc.Services[0].Targets[0].Instance = "instance-7"
-	b := newForeignBench(t, doc)
+	b := newForeignProxy(t, doc)
 	resp, body, err := b.call(t, "POST", "/svc/a", strings.NewReader("book"))
 	if err != nil || resp.StatusCode != http.StatusOK || body != "ok" {
 		t.Errorf("got %v %q %v, want the other target's answer", resp, body, err)
@@ -180,13 +179,15 @@
 	}
 }
 
+// A refusal without the not-run header may have been run: a request that is not
+// repeatable is not sent again.
 func TestUnmarkedRefusalIsRelayed(t *testing.T) {
 	runs := 0
 	target := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		runs++
 		w.WriteHeader(http.StatusTooManyRequests)
 	})
-	b := newForeignBench(t, document(target, target))
+	b := newForeignProxy(t, testDocument(target, target))
 	resp, _, err := b.call(t, "POST", "/svc/a", nil)
 	if err != nil || resp.StatusCode != http.StatusTooManyRequests || runs != 1 {
 		t.Errorf("got %v %v, %d runs", resp, err, runs)
@@ -202,10 +203,10 @@
 	}
 }
 
-// A process that is about to end tells callers that nothing was run.
+// A process that is about to exit rejects requests as not run.
 func TestRefuseBeforeTheEnd(t *testing.T) {
 	target := newTarget(t, func(w http.ResponseWriter, _ *http.Request) { t.Error("the request was run") })
-	b := newForeignBench(t, document(target))
+	b := newForeignProxy(t, testDocument(target))
 	b.handler.CloseConnections()
 	b.handler.Refuse()
 	resp, _, err := b.call(t, "GET", "/svc/a", nil)
@@ -214,9 +215,9 @@
 	}
 }
 
-// hosted returns a document with rules by host.
-func hosted(target string, rules ...config.Rule) *config.Document {
-	doc := document(target)
+// documentWithRules returns a document with the given rules for one host.
+func documentWithRules(target string, rules ...config.Rule) *config.Document {
+	doc := testDocument(target)
 	doc.Hosts = []config.Host{{Name: "one.example", Rules: rules}}
 	return doc
 }
@@ -224,7 +225,7 @@
 func TestRulesByHost(t *testing.T) {
 	target := newTarget(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.URL.Path) })
 	part := []config.Part{{Service: "svc", Weight: 1}}
-	b := newForeignBench(t, hosted(target,
+	b := newForeignProxy(t, documentWithRules(target,
 		config.Rule{Name: "short", PathPrefix: "/a/", Parts: part, Class: "fast", Repeat: config.RepeatAllowed},
 		config.Rule{Name: "none", PathPrefix: "/a/b/", Parts: []config.Part{{Service: "unknown", Weight: 1}}, Class: "fast"},
 	))
@@ -255,12 +256,12 @@
 	}
 }
 
-// The answer comes at the rule's timeout, whatever the caller would wait.
+// The rule's timeout applies if the caller's is longer.
 func TestRuleBoundsTheTimeout(t *testing.T) {
 	held := make(chan struct{})
 	target := newTarget(t, func(http.ResponseWriter, *http.Request) { <-held })
 	defer close(held)
-	b := newForeignBench(t, hosted(target, config.Rule{
+	b := newForeignProxy(t, documentWithRules(target, config.Rule{
 		Name: "r", PathPrefix: "/", Parts: []config.Part{{Service: "svc", Weight: 1}}, Class: "fast",
 		Repeat: config.RepeatAllowed, TimeoutMS: 100, MaxAttempts: 1,
 	}))
@@ -276,8 +277,8 @@
 	}
 }
 
-// In any run of requests each part of a rule is within one request of its
-// share.
+// In any window of consecutive requests, each part of a rule is within one request
+// of its share.
 func TestSplitIsExactInEveryWindow(t *testing.T) {
 	doc := &config.Document{Services: []config.Service{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
 	snap := config.NewLiveSnapshot(1, doc)
@@ -317,28 +318,28 @@
 	if b != 5 {
 		t.Errorf("%d of 10 requests went to b after the weights became equal", b)
 	}
-	s.keep(nil)
+	s.retain(nil)
 	if len(s.rules) != 0 {
-		t.Error("rules that are gone are kept")
+		t.Error("rules that are no longer configured are kept")
 	}
 }
 
-// Retries for one service do not use up those of another.
+// Retries of one service do not use the budget of another.
 func TestRetryBudgetIsPerService(t *testing.T) {
 	r := &config.Retry{BudgetBurst: 2}
-	var b budget
+	var b retryBudget
 	for range 2 {
-		if !b.spend("a", "", r) {
-			t.Fatal("the burst is not there")
+		if !b.withdraw("a", "", r) {
+			t.Fatal("the burst is not available")
 		}
 	}
-	if b.spend("a", "", r) || !b.spend("b", "", r) {
-		t.Error("the budget is not each service's own")
+	if b.withdraw("a", "", r) || !b.withdraw("b", "", r) {
+		t.Error("services share a budget")
 	}
 }
 
 func TestDocumentBoundsIdleConnections(t *testing.T) {
-	doc := document("127.0.0.1:1")
+	doc := testDocument("127.0.0.1:1")
 	snap := config.NewLiveSnapshot(1, doc)
 	if got := headLimitsOf(snap).idle; got != callerIdleTimeout {
 		t.Errorf("without a bound: %v", got)
--- a/internal/forward/dispatch.go
+++ b/internal/forward/dispatch.go
@@ -8,27 +8,27 @@
 	"masticturn/internal/outcome"
 )
 
-// Fault is why an attempt ended without a complete answer.
+// Fault is the reason why an attempt ended without a complete response.
 type Fault uint8
 
-// The faults of an attempt.
+// Faults of an attempt.
 const (
-	FaultNone        Fault = iota
-	FaultRefused           // no slot, no connection, or the request was not accepted
-	FaultBroken            // the connection ended or was reset
-	FaultSilent            // nothing came for too long
-	FaultShort             // the answer was cut, or its end is unknown
-	FaultCrossed           // the answer carries the id of another request
-	FaultShed              // the target said that it did not run the request
-	FaultUnavailable       // the target answered 503 and does not say that it did not run it
-	FaultCallerGone        // the caller left
-	FaultCallerSlow        // the caller's body or its reading stopped for too long
-	FaultDeadline          // the request's deadline has passed
-	FaultHeld              // the request is suspect or in quarantine
+	FaultNone             Fault = iota
+	FaultRefused                // no slot, no connection, or the request was not accepted
+	FaultConnectionBroken       // the connection was closed or reset
+	FaultTargetTimeout          // the target made no progress within a timeout
+	FaultTruncated              // the response was truncated, or its end can't be determined
+	FaultMismatched             // the response carries the ID of another request
+	FaultShed                   // the target reported that it did not run the request
+	FaultUnavailable            // a 5xx status other than 504, without a report that the request was not run
+	FaultCallerGone             // the caller disconnected
+	FaultCallerSlow             // the caller's body stopped for too long, or is too large
+	FaultDeadline               // the request's deadline has passed
+	FaultQuarantined            // the request is suspect or in quarantine
 	faultCount
 )
 
-// String returns the name used in answers, logs and metrics.
+// String returns the text used in error responses, logs and metrics.
 func (f Fault) String() string {
 	return [...]string{
 		"none", "refused", "connection broken", "target silent", "answer cut short",
@@ -37,7 +37,7 @@
 	}[f]
 }
 
-// Faults lists all faults of an attempt.
+// Faults lists all faults, including FaultNone.
 func Faults() []Fault {
 	all := make([]Fault, 0, faultCount)
 	for f := FaultNone; f < faultCount; f++ {
@@ -55,151 +55,154 @@
 	}
 }
 
-// attemptEnd is how one attempt ended.
-type attemptEnd struct {
+// attemptResult describes how one attempt ended.
+type attemptResult struct {
 	Step       outcome.Step
 	Fault      Fault
-	Peer       string // target, empty when none was chosen
+	Peer       string // target name; empty if none was chosen
 	Sent       bool   // a byte of the request may have reached a target
-	Consumed   bool   // the body was read from the caller and is not kept
-	Relayed    bool   // a byte of the answer may have reached the caller
+	Consumed   bool   // the caller's body was read and not buffered, so it can't be sent again
+	Relayed    bool   // a byte of the response may have reached the caller
 	RetryAfter time.Duration
 	Backoff    time.Duration // Retry-After of the target; 0: none
-	Status     int           // HTTP status for the caller; 0: by fault
-	// Misdirected: another instance than expected has the target's address.
+	Status     int           // HTTP status for the caller; 0: derived from Fault
+	// Misdirected: the target's address belongs to another instance than expected.
 	Misdirected bool
-	// SlotsFree: the refusal reported free slots.
+	// SlotsFree: the target refused the request although it reported free slots.
 	SlotsFree bool
-	// NoListener: nobody listens at the target's address.
+	// NoListener: the target's address refused the connection.
 	NoListener bool
-	// Stale: the target had closed the idle connection; the attempt does not count.
+	// Stale: the target had already closed the idle connection, so the attempt does not count.
 	Stale bool
 	Err   error
 }
 
-// verdict is the next step after an attempt.
-type verdict uint8
+// action is the next step after an attempt.
+type action uint8
 
 const (
-	verdictDone  verdict = iota // the caller has the whole answer
-	verdictRetry                // try again after the wait
-	verdictFail                 // answer with the error
-	verdictAbort                // break the caller's connection
+	actionDone  action = iota // the caller has the complete response
+	actionRetry               // make another attempt after the wait
+	actionFail                // respond with the error
+	actionAbort               // abort the caller's connection
 )
 
-// decision is the verdict with its data.
+// decision is an action with its parameters.
 type decision struct {
-	verdict verdict
-	wait    time.Duration
-	err     *outcome.Error
+	action action
+	wait   time.Duration
+	err    *outcome.Error
 }
 
-// retryRule limits the attempts of one request.
-type retryRule struct {
-	repeatable  bool // it may run more than once
+// retryPolicy limits the attempts of one request.
+type retryPolicy struct {
+	repeatable  bool // the request may run more than once
 	maxAttempts int
 	deadline    time.Time
-	// spend takes a retry from a target's budget; false if it is exhausted. Target is empty if none
-	// was reached.
-	spend func(target string) bool
+	// withdraw takes one retry from a target's budget; false if it is exhausted. target is empty if
+	// none was reached.
+	withdraw func(target string) bool
 	// backoff returns the wait before the next attempt.
 	backoff func() time.Duration
 }
 
-// dispatch decides after each attempt of a request on the next step and the final answer. It does
-// no I/O.
+// dispatch is the retry state machine of one request. After each attempt it decides whether to finish,
+// retry, fail or abort. It does no I/O.
 type dispatch struct {
-	rule     retryRule
-	attempts int
-	stale    int  // of them, those on a stale connection
-	mayRun   bool // an attempt of this request may have run
-	last     attemptEnd
+	policy        retryPolicy
+	attempts      int
+	staleAttempts int  // those of attempts that met a stale connection
+	mayHaveRun    bool // an attempt may have run the request
+	last          attemptResult
 }
 
-// begin records the start of an attempt.
-func (d *dispatch) begin() { d.attempts++ }
+// startAttempt records the start of an attempt.
+func (d *dispatch) startAttempt() { d.attempts++ }
 
-// hedged records the end of a first attempt that its hedge replaces.
-func (d *dispatch) hedged(first attemptEnd) {
+// recordHedgeWon records the result of a first attempt that its hedge replaces.
+func (d *dispatch) recordHedgeWon(first attemptResult) {
 	d.attempts++
 	if first.Sent && first.Fault != FaultShed {
-		d.mayRun = true
+		d.mayHaveRun = true
 	}
 }
 
-// end decides after an attempt.
-func (d *dispatch) end(a attemptEnd, now time.Time) decision {
+// decide returns the next step after an attempt.
+func (d *dispatch) decide(a attemptResult, now time.Time) decision {
 	if a.Fault == FaultNone {
-		return decision{verdict: verdictDone}
+		return decision{action: actionDone}
 	}
 	if a.Sent && a.Fault != FaultShed {
-		d.mayRun = true
+		d.mayHaveRun = true
 	}
 	if a.Step == outcome.StepAdmit && a.Fault == FaultRefused && d.attempts > 1 {
-		return decision{verdict: verdictFail, err: d.noTargetLeft(a)}
+		return decision{action: actionFail, err: d.noTargetLeft(a)}
 	}
 	d.last = a
 	if a.Stale {
-		d.stale++
+		d.staleAttempts++
 	}
 	if a.Relayed {
-		return decision{verdict: verdictAbort, err: d.failure(a)}
+		return decision{action: actionAbort, err: d.failure(a)}
 	}
 	if wait, ok := d.retry(a, now); ok {
-		return decision{verdict: verdictRetry, wait: wait}
+		return decision{action: actionRetry, wait: wait}
 	}
-	return decision{verdict: verdictFail, err: d.failure(a)}
+	return decision{action: actionFail, err: d.failure(a)}
 }
 
-// retryable reports whether another attempt respects the request's guarantees.
-func (d *dispatch) retryable(a attemptEnd) bool {
+// retryable reports whether another attempt can help and is safe: the body must still be available, and
+// a request that is not repeatable must not run twice.
+func (d *dispatch) retryable(a attemptResult) bool {
 	switch a.Fault {
-	case FaultCallerGone, FaultCallerSlow, FaultDeadline, FaultHeld:
+	case FaultCallerGone, FaultCallerSlow, FaultDeadline, FaultQuarantined:
 		return false
 	}
 	if a.Step == outcome.StepAdmit {
-		return false // admission has given up for good
+		return false // a refusal by admission is final
 	}
 	if a.Consumed {
 		return false
 	}
-	return d.rule.repeatable || !(d.mayRun || a.Sent && a.Fault != FaultShed)
+	return d.policy.repeatable || !(d.mayHaveRun || a.Sent && a.Fault != FaultShed)
 }
 
-// mayRetry reports whether another attempt is allowed after such an end, budget and deadline aside.
-func (d *dispatch) mayRetry(a attemptEnd) bool {
-	return d.retryable(a) && d.tries() < d.rule.maxAttempts
+// mayRetry reports whether another attempt is allowed after this result, apart from budget and deadline.
+func (d *dispatch) mayRetry(a attemptResult) bool {
+	return d.retryable(a) && d.countedAttempts() < d.policy.maxAttempts
 }
 
-// tries returns the attempts that count: stale connections don't, unless only one is allowed.
-func (d *dispatch) tries() int {
-	if d.rule.maxAttempts == 1 {
+// countedAttempts returns the number of attempts that count towards the limit. Those on stale
+// connections don't, unless only one attempt is allowed.
+func (d *dispatch) countedAttempts() int {
+	if d.policy.maxAttempts == 1 {
 		return d.attempts
 	}
-	return d.attempts - d.stale
+	return d.attempts - d.staleAttempts
 }
 
-func (d *dispatch) retry(a attemptEnd, now time.Time) (time.Duration, bool) {
+func (d *dispatch) retry(a attemptResult, now time.Time) (time.Duration, bool) {
 	if !d.mayRetry(a) {
 		return 0, false
 	}
-	wait := d.rule.backoff()
-	if !now.Add(wait).Before(d.rule.deadline) {
+	wait := d.policy.backoff()
+	if !now.Add(wait).Before(d.policy.deadline) {
 		return 0, false
 	}
-	return wait, d.rule.spend(a.Peer)
+	return wait, d.policy.withdraw(a.Peer)
 }
 
-// notRunRetryAfter is the Retry-After if neither the target nor admission has one.
+// notRunRetryAfter is the Retry-After of a request that was not run if neither the target nor
+// admission suggests one.
 const notRunRetryAfter = 100 * time.Millisecond
 
-// freeRetryAfter is the Retry-After if the target refused despite free slots, as no run has to end
-// first.
-const freeRetryAfter = 10 * time.Millisecond
+// freeSlotsRetryAfter is the Retry-After if the target refused despite free slots: the caller need not
+// wait for another run to end.
+const freeSlotsRetryAfter = 10 * time.Millisecond
 
-// noTargetLeft is the failure of a request without another target: the last attempt's, with the time
-// at which a target is expected to be available.
-func (d *dispatch) noTargetLeft(a attemptEnd) *outcome.Error {
+// noTargetLeft returns the error of a request that has no further target to try: that of the last
+// attempt. If it was not run, its Retry-After is the one of admission or of the target.
+func (d *dispatch) noTargetLeft(a attemptResult) *outcome.Error {
 	e := d.failure(d.last)
 	if e.Outcome != outcome.NotRun {
 		return e
@@ -213,10 +216,10 @@
 	return e
 }
 
-// failure returns a failed request's error with its outcome.
-func (d *dispatch) failure(a attemptEnd) *outcome.Error {
+// failure returns the error of a failed request, with its outcome.
+func (d *dispatch) failure(a attemptResult) *outcome.Error {
 	o := outcome.NotRun
-	if d.mayRun {
+	if d.mayHaveRun {
 		o = outcome.Unknown
 	}
 	e := &outcome.Error{
@@ -225,7 +228,7 @@
 		Peer:       a.Peer,
 		Reason:     a.Fault.String(),
 		RetryAfter: a.RetryAfter,
-		Status:     statusOf(a, o),
+		Status:     failureStatus(a, o),
 		Err:        a.Err,
 	}
 	var cause *outcome.Error
@@ -234,24 +237,24 @@
 		e.Err = cause.Err
 		e.RetryAfter = max(e.RetryAfter, cause.RetryAfter)
 	}
-	if o == outcome.NotRun && e.RetryAfter == 0 && a.Fault != FaultCallerGone && a.Fault != FaultHeld {
+	if o == outcome.NotRun && e.RetryAfter == 0 && a.Fault != FaultCallerGone && a.Fault != FaultQuarantined {
 		e.RetryAfter = notRunRetryAfter
 		if a.SlotsFree {
-			e.RetryAfter = freeRetryAfter
+			e.RetryAfter = freeSlotsRetryAfter
 		}
 	}
 	return e
 }
 
-// statusOf returns the HTTP status of a failure.
-func statusOf(a attemptEnd, o outcome.Outcome) int {
-	if a.Status != 0 && !(a.Fault == FaultHeld && o != outcome.NotRun) {
+// failureStatus returns the HTTP status of a failure.
+func failureStatus(a attemptResult, o outcome.Outcome) int {
+	if a.Status != 0 && !(a.Fault == FaultQuarantined && o != outcome.NotRun) {
 		return a.Status
 	}
 	switch a.Fault {
 	case FaultCallerSlow:
 		return http.StatusRequestTimeout
-	case FaultDeadline, FaultSilent:
+	case FaultDeadline, FaultTargetTimeout:
 		return http.StatusGatewayTimeout
 	}
 	if o == outcome.NotRun {
--- a/internal/forward/dispatch_test.go
+++ b/internal/forward/dispatch_test.go
@@ -13,19 +13,19 @@
 
 const propertySeed = 20260101
 
-// rule returns a rule that would retry without end.
-func rule(repeatable bool) retryRule {
-	return retryRule{
+// unlimitedPolicy returns a policy with unlimited budget and five attempts.
+func unlimitedPolicy(repeatable bool) retryPolicy {
+	return retryPolicy{
 		repeatable:  repeatable,
 		maxAttempts: 5,
 		deadline:    time.Unix(1000, 0),
-		spend:       func(string) bool { return true },
+		withdraw:    func(string) bool { return true },
 		backoff:     func() time.Duration { return 0 },
 	}
 }
 
-// Every fault at every step, with all facts about the attempt: what is decided
-// keeps the promises.
+// The decision after every fault at every step, with all combinations of the other
+// fields, keeps the guarantees of the request.
 func TestDispatchDecidesForEveryFaultAtEveryStep(t *testing.T) {
 	bits := []bool{false, true}
 	for _, step := range Steps() {
@@ -34,9 +34,9 @@
 				for _, sent := range bits {
 					for _, consumed := range bits {
 						for _, relayed := range bits {
-							d := &dispatch{rule: rule(repeatable)}
-							d.begin()
-							a := attemptEnd{Step: step, Fault: fault, Sent: sent, Consumed: consumed, Relayed: relayed}
+							d := &dispatch{policy: unlimitedPolicy(repeatable)}
+							d.startAttempt()
+							a := attemptResult{Step: step, Fault: fault, Sent: sent, Consumed: consumed, Relayed: relayed}
 							checkDecision(t, d, a)
 						}
 					}
@@ -46,61 +46,61 @@
 	}
 }
 
-func checkDecision(t *testing.T, d *dispatch, a attemptEnd) {
+func checkDecision(t *testing.T, d *dispatch, a attemptResult) {
 	t.Helper()
 	mayHaveRun := a.Sent && a.Fault != FaultShed
-	got := d.end(a, time.Unix(0, 0))
+	got := d.decide(a, time.Unix(0, 0))
 	switch {
 	case a.Fault == FaultNone:
-		if got.verdict != verdictDone {
+		if got.action != actionDone {
 			t.Errorf("%+v: got %v, want done", a, got)
 		}
 	case a.Relayed:
-		if got.verdict != verdictAbort {
-			t.Errorf("%+v: a part went to the caller, got %v", a, got)
+		if got.action != actionAbort {
+			t.Errorf("%+v: a part was sent to the caller, got %v", a, got)
 		}
-	case got.verdict == verdictRetry:
-		if a.Consumed || !d.rule.repeatable && mayHaveRun {
-			t.Errorf("%+v repeatable=%v: it is sent again", a, d.rule.repeatable)
+	case got.action == actionRetry:
+		if a.Consumed || !d.policy.repeatable && mayHaveRun {
+			t.Errorf("%+v repeatable=%v: must not be retried", a, d.policy.repeatable)
 		}
-	case got.verdict != verdictFail:
+	case got.action != actionFail:
 		t.Errorf("%+v: got %v", a, got)
 	case mayHaveRun != (got.err.Outcome == outcome.Unknown):
-		t.Errorf("%+v: the caller is told %s", a, got.err.Outcome)
+		t.Errorf("%+v: the reported outcome is %s", a, got.err.Outcome)
 	}
 }
 
-// Whatever happens in a row of attempts: a request that may not be repeated
-// reaches at most one target that may run it, and 'not run' is only said when
-// none may have run it.
+// For any sequence of attempts, a request that is not repeatable reaches at most one
+// target that may run it, and the outcome is NotRun only if no target may have run
+// it.
 func TestDispatchProperties(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(propertySeed)
 	p.MinSuccessfulTests = 500
 	properties := gopter.NewProperties(p)
-	attempt := gen.Struct(typeOfAttemptEnd, map[string]gopter.Gen{
+	attempt := gen.Struct(attemptResultType, map[string]gopter.Gen{
 		"Step":     gen.OneConstOf(outcome.StepAdmit, outcome.StepConnect, outcome.StepSend, outcome.StepWait, outcome.StepReceive),
 		"Fault":    gen.UInt8Range(uint8(FaultRefused), uint8(faultCount)-1).Map(func(n uint8) Fault { return Fault(n) }),
 		"Sent":     gen.Bool(),
 		"Consumed": gen.Bool(),
 	})
-	properties.Property("at most once, and honest", prop.ForAll(
-		func(repeatable bool, ends []attemptEnd) bool {
-			d := &dispatch{rule: rule(repeatable)}
+	properties.Property("at most one run and the correct outcome", prop.ForAll(
+		func(repeatable bool, ends []attemptResult) bool {
+			d := &dispatch{policy: unlimitedPolicy(repeatable)}
 			mayHaveRun := 0
 			for _, a := range ends {
-				d.begin()
+				d.startAttempt()
 				if a.Sent && a.Fault != FaultShed {
 					mayHaveRun++
 				}
-				got := d.end(a, time.Unix(0, 0))
+				got := d.decide(a, time.Unix(0, 0))
 				if !repeatable && mayHaveRun > 1 {
 					return false
 				}
-				if got.verdict == verdictFail {
+				if got.action == actionFail {
 					return (got.err.Outcome == outcome.NotRun) == (mayHaveRun == 0)
 				}
 			}
-			return d.attempts <= d.rule.maxAttempts
+			return d.attempts <= d.policy.maxAttempts
 		},
 		gen.Bool(), gen.SliceOf(attempt),
 	))
@@ -108,23 +108,23 @@
 }
 
 func TestRetryNeedsBudgetAndTime(t *testing.T) {
-	a := attemptEnd{Step: outcome.StepWait, Fault: FaultBroken, Sent: true}
+	a := attemptResult{Step: outcome.StepWait, Fault: FaultConnectionBroken, Sent: true}
 	tests := []struct {
 		name   string
-		change func(*retryRule)
-		want   verdict
+		change func(*retryPolicy)
+		want   action
 	}{
-		{"both are there", func(*retryRule) {}, verdictRetry},
-		{"no budget", func(r *retryRule) { r.spend = func(string) bool { return false } }, verdictFail},
-		{"no time", func(r *retryRule) { r.deadline = time.Unix(0, 0) }, verdictFail},
-		{"no attempt left", func(r *retryRule) { r.maxAttempts = 1 }, verdictFail},
+		{"both available", func(*retryPolicy) {}, actionRetry},
+		{"no budget", func(r *retryPolicy) { r.withdraw = func(string) bool { return false } }, actionFail},
+		{"no time", func(r *retryPolicy) { r.deadline = time.Unix(0, 0) }, actionFail},
+		{"no attempt left", func(r *retryPolicy) { r.maxAttempts = 1 }, actionFail},
 	}
 	for _, tt := range tests {
-		d := &dispatch{rule: rule(true)}
-		tt.change(&d.rule)
-		d.begin()
-		if got := d.end(a, time.Unix(0, 0)); got.verdict != tt.want {
-			t.Errorf("%s: got %v, want %v", tt.name, got.verdict, tt.want)
+		d := &dispatch{policy: unlimitedPolicy(true)}
+		tt.change(&d.policy)
+		d.startAttempt()
+		if got := d.decide(a, time.Unix(0, 0)); got.action != tt.want {
+			t.Errorf("%s: got %v, want %v", tt.name, got.action, tt.want)
 		}
 	}
 }
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -6,91 +6,91 @@
 	"masticturn/internal/telemetry"
 )
 
-// The events of the request path.
+// Log events of the request path.
 var (
 	eventRequestFailed = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 1,
 		Level:   logrus.WarnLevel,
 		Name:    "request failed",
-		Meaning: "A request ended without a whole answer; step, peer and outcome are given. left_ms is the time that the caller gave it: one that came back after a refusal has less than others of its rule. At most some of these lines are written each second.",
-		Action:  "Look at the peer that is named; when many requests fail at one step, look at the metrics by step.",
+		Meaning: "A request ended without a complete response; step, peer and outcome are given. left_ms is the time that the caller allowed; a retry by the caller after a refusal has less than other requests of its rule. The rate of these lines is limited.",
+		Action:  "Check the named peer; if many requests fail at one step, check the metrics by step.",
 	})
 	eventAnswerDropped = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 2,
 		Level:   logrus.ErrorLevel,
 		Name:    "answer dropped",
-		Meaning: "A target sent an answer that was cut short, had no clean end, or belongs to another request. It was not given to the caller.",
-		Action:  "Look into the target, or into what lies before it: it mixes up or cuts answers.",
+		Meaning: "A target sent a response that was truncated, had no recognizable end, or belongs to another request. It was not passed to the caller as a complete response.",
+		Action:  "Check the target and any proxy in front of it: responses are mixed up or truncated.",
 	})
-	eventAnswered = telemetry.Register(telemetry.Event{
+	eventRequestAnswered = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 6,
 		Level:   logrus.InfoLevel,
 		Name:    "request answered",
-		Meaning: "The whole answer of the target named went to the caller; status is the target's, sent_ms the time at the target; left_ms is the time that the caller gave it.",
+		Meaning: "The complete response of the named target was sent to the caller; status is the target's, sent_ms the time at the target, left_ms the time that the caller allowed.",
 		Action:  "None.",
 		Routine: true,
 	})
-	eventRetried = telemetry.Register(telemetry.Event{
+	eventRequestRetried = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 5,
 		Level:   logrus.InfoLevel,
-		Name:    "request sent once more",
-		Meaning: "The attempt before ended as stated, and the request goes to another target.",
-		Action:  "None by itself; many of them point at the target named by the line before.",
+		Name:    "request retried",
+		Meaning: "The previous attempt ended as stated, and the request is sent again, to another target unless a connection was stale.",
+		Action:  "None by itself; if there are many, check the target of the previous attempt.",
 	})
 	eventServing = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 3,
 		Level:   logrus.InfoLevel,
-		Name:    "callers are served",
+		Name:    "listening for callers",
 		Meaning: "The callers' listener is open at the given address.",
 		Action:  "None.",
 	})
-	eventCut = telemetry.Register(telemetry.Event{
+	eventRequestsAborted = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 4,
 		Level:   logrus.ErrorLevel,
-		Name:    "requests cut",
+		Name:    "requests aborted on stop",
 		Meaning: "The process was forced to stop while requests were in flight; their number is given.",
-		Action:  "Wait for a planned stop to end by itself; look which requests are so long.",
+		Action:  "Let planned stops end by themselves; find out which requests take so long.",
 	})
-	eventRegions = telemetry.Register(telemetry.Event{
+	eventRequestsByRegion = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 7,
 		Level:   logrus.InfoLevel,
 		Name:    "requests by region",
-		Meaning: "Requests of this VM in the two seconds that end now, by the region of their target: placed when the target was chosen, sent when they were written to its connection.",
-		Action:  "None. When a region's requests seem to have moved, add up the lines of its VMs: placed tells whether other targets were chosen.",
+		Meaning: "Numbers of requests of this VM in the two seconds that end now, by the region of their target: placed counts a request when its target is chosen, sent when it is written to a connection.",
+		Action:  "None. If a region's requests seem to have moved, add up the lines of its VMs: placed shows whether other targets were chosen.",
 	})
 	eventRunBroken = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 9,
 		Level:   logrus.WarnLevel,
 		Name:    "run broken by its target",
-		Meaning: "The target ended the connection of a run before its whole answer, ran_ms after it was sent. Target tells what a new connection found: ended (nobody listens), listening, or unknown. Digest is that of the whole request, the same whenever it comes again.",
-		Action:  "When lines of several targets that ended carry one digest, that request may end them: look for who sends it.",
+		Meaning: "The target closed the connection of a run before the complete response, ran_ms after the request was sent. Target is the result of a new connection: ended (connection refused), listening, or unknown. Digest identifies the whole request and is the same for each repetition.",
+		Action:  "If lines of several ended targets have the same digest, that request may crash them: find its sender.",
 	})
-	eventHeldBack = telemetry.Register(telemetry.Event{
+	eventRequestHeldBack = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 10,
 		Level:   logrus.WarnLevel,
 		Name:    "request held back",
-		Meaning: "The request was rejected because targets have crashed while running it: their number, and the age of the last crash. Verdict suspect: another run holds the lease; quarantined: rejected until a trial, an answered run or an operator clears it.",
+		Meaning: "The request was rejected because targets have crashed while running it; their number and the age of the last crash are given. Verdict suspect: another run holds the lease; quarantined: rejected until a trial, an answered run or an operator clears it.",
 		Action:  "See 5302 lines and OPERATIONS.",
 	})
-	eventTargetLeaves = telemetry.Register(telemetry.Event{
+	eventTargetDraining = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 11,
 		Level:   logrus.InfoLevel,
 		Name:    "target is leaving",
-		Meaning: "An answer of the target carries the leaving header.",
+		Meaning: "A response of the target has the header that announces its leaving.",
 		Action:  "None.",
 	})
 	eventTargetBackoff = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 12,
 		Level:   logrus.InfoLevel,
-		Name:    "target asks for backoff",
-		Meaning: "The target answered 503 with Retry-After; its value is logged unparsed.",
+		Name:    "target requested backoff",
+		Meaning: "The target responded with 503 and Retry-After; the value is logged unparsed.",
 		Action:  "None by itself; if many targets of a service do so, the service is overloaded.",
 	})
-	eventAheadFailed = telemetry.Register(telemetry.Event{
+	eventOpenAheadFailed = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 8,
 		Level:   logrus.DebugLevel,
 		Name:    "connection not opened ahead",
-		Meaning: "A connection to a target that is expected to get requests could not be opened. The next request there opens its own.",
-		Action:  "None by itself; requests to that target tell more.",
+		Meaning: "A connection to a target that is expected to get requests could not be opened ahead of them. The next request to it opens its own.",
+		Action:  "None by itself; see whether requests to that target fail.",
 	})
 )
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -18,7 +18,7 @@
 	"masticturn/internal/telemetry"
 )
 
-// exchange is one caller's request in progress.
+// exchange is the state of one caller's request.
 type exchange struct {
 	h         *Handler
 	w         http.ResponseWriter
@@ -26,38 +26,38 @@
 	rc        *http.ResponseController
 	startedAt time.Time
 
-	keysCurrent bool // keys of snap may be used
+	keysCurrent bool // API keys of snap are accepted
 	snap        *config.Snapshot
 	match       config.Match
-	customer    *customer.Customer // nil: none is needed
+	customer    *customer.Customer // nil: the route needs none
 	id          string
 	repeatable  bool
 	deadline    time.Time
 	region      string // of the caller
 
-	head   digest.Head
-	whole  digest.Digest // of the request, where its body is small
-	body   []byte        // the whole body when it is small
-	stream *upload       // otherwise; nil when there is no body
-	kept   int64         // bytes of the body that were read ahead
-	claim  idempotency.Claim
-	record *recording       // nil when there is no claim
-	pass   *quarantine.Pass // nil: it runs as any other
-	probed <-chan struct{}  // closed once it is known whether the last run's target crashed; nil: there is none
+	headDigest    digest.Head
+	requestDigest digest.Digest // zero if the body is streamed and was not read ahead
+	body          []byte        // whole body, if it is small
+	stream        *upload       // larger body; nil if there is none
+	reservedBytes int64         // memory reserved to read the body ahead, in bytes
+	claim         idempotency.Claim
+	recorder      *responseRecorder // nil if there is no claim
+	pass          *quarantine.Pass  // nil: no restrictions
+	probeDone     <-chan struct{}   // closed once it is known whether the last target crashed; nil: no probe
 
-	dispatch dispatch
-	tried    []string
-	served   string        // region of the target that answered
-	status   int           // of its answer
-	sentFor  time.Duration // from sending the request there to the answer's head
-	written  bool          // the answer's head went to the caller
-	gone     bool          // the caller left while its keyed run goes on
-	fresh    bool          // a connection was stale: further attempts open theirs
+	dispatch      dispatch
+	tried         []string
+	servedRegion  string        // region of the target that answered
+	status        int           // of the target's response
+	targetLatency time.Duration // from sending the request to the head of the response
+	headWritten   bool          // the response head was sent to the caller
+	callerGone    bool          // the caller disconnected while its run with an idempotency key continues
+	newConnOnly   bool          // a connection was stale, so further attempts open new ones
 }
 
-// serve runs all steps of the request.
+// serve handles the request from parsing to the final response.
 func (x *exchange) serve() {
-	defer x.releaseScreen()
+	defer x.releaseQuarantine()
 	err := x.prepare()
 	if err == nil && x.claim != nil && x.claim.Replay() != nil {
 		x.replay(x.claim.Replay())
@@ -66,10 +66,10 @@
 	if err == nil {
 		err = x.run()
 	}
-	x.finish(err)
+	x.complete(err)
 }
 
-// prepare covers the steps from parsing to the claim.
+// prepare runs the steps from parsing to the claim of the idempotency key.
 func (x *exchange) prepare() *outcome.Error {
 	if err := x.parse(); err != nil {
 		return err
@@ -77,10 +77,10 @@
 	if err := x.route(); err != nil {
 		return err
 	}
-	if err := x.identify(); err != nil {
+	if err := x.identifyCustomer(); err != nil {
 		return err
 	}
-	if err := x.takeLimit(); err != nil {
+	if err := x.checkRateLimit(); err != nil {
 		return err
 	}
 	if err := x.chooseService(); err != nil {
@@ -89,37 +89,37 @@
 	if err := x.readBody(); err != nil {
 		return err
 	}
-	if err := x.screen(); err != nil {
+	if err := x.checkQuarantine(); err != nil {
 		return err
 	}
-	return x.claimKey()
+	return x.claimIdempotencyKey()
 }
 
-// refuse is the error of a request that was not run.
-func refuse(step outcome.Step, status int, reason string) *outcome.Error {
+// notRunError returns the error of a request that was not run.
+func notRunError(step outcome.Step, status int, reason string) *outcome.Error {
 	return &outcome.Error{Outcome: outcome.NotRun, Step: step, Status: status, Reason: reason}
 }
 
 func (x *exchange) parse() *outcome.Error {
 	x.rc = http.NewResponseController(x.w)
 	d := x.h.deps.Dialect
-	x.id = first(x.r.Header, d.RequestID)
+	x.id = headerValue(x.r.Header, d.RequestID)
 	if d.InventRequestID && !validRequestID(x.id) {
 		x.id = newRequestID()
 	}
 	if !x.r.ProtoAtLeast(1, 1) {
-		// A cut of a streamed answer would go undetected.
-		return refuse(outcome.StepParse, http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
+		// HTTP/1.0 has no chunked encoding, so a truncated response would go undetected.
+		return notRunError(outcome.StepParse, http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
 	}
 	if x.h.refusing.Load() {
-		err := refuse(outcome.StepParse, http.StatusServiceUnavailable, "this VM is about to stop")
+		err := notRunError(outcome.StepParse, http.StatusServiceUnavailable, "this VM is about to stop")
 		err.RetryAfter = leavingRetryAfter
 		return err
 	}
 	x.keysCurrent = x.h.keysAreCurrent()
 	x.snap = x.h.deps.Config.Current()
 	if x.snap == nil {
-		err := refuse(outcome.StepParse, http.StatusServiceUnavailable, "this VM has no document yet")
+		err := notRunError(outcome.StepParse, http.StatusServiceUnavailable, "this VM has no document yet")
 		err.RetryAfter = time.Second
 		return err
 	}
@@ -143,53 +143,53 @@
 func (x *exchange) route() *outcome.Error {
 	m, ok := x.snap.MatchRequest(x.r.Host, x.r.Method, x.r.URL.Path)
 	if !ok || m.Class == nil {
-		return refuse(outcome.StepRoute, http.StatusNotFound, "no service is routed at this path and method")
+		return notRunError(outcome.StepRoute, http.StatusNotFound, "no service is routed at this path and method")
 	}
 	x.match = m
-	x.repeatable = m.Repeatable && first(x.r.Header, x.h.deps.Dialect.NoRetry) != "1"
-	x.region = x.h.place(x.r).Region
+	x.repeatable = m.Repeatable && headerValue(x.r.Header, x.h.deps.Dialect.NoRetry) != "1"
+	x.region = x.h.callerPlace(x.r).Region
 	x.deadline = x.startedAt.Add(x.timeout())
 	if x.r.ContentLength > x.maxBody() {
-		return refuse(outcome.StepRoute, http.StatusRequestEntityTooLarge, errBodyTooLarge.Error())
+		return notRunError(outcome.StepRoute, http.StatusRequestEntityTooLarge, errBodyTooLarge.Error())
 	}
-	if m.Route.RequireKey && first(x.r.Header, x.h.deps.Dialect.IdempotencyKey) == "" {
-		return refuse(outcome.StepRoute, http.StatusBadRequest, "the "+x.h.deps.Dialect.IdempotencyKey+" header is required here")
+	if m.Route.RequireKey && headerValue(x.r.Header, x.h.deps.Dialect.IdempotencyKey) == "" {
+		return notRunError(outcome.StepRoute, http.StatusBadRequest, "the "+x.h.deps.Dialect.IdempotencyKey+" header is required here")
 	}
 	return nil
 }
 
-// chooseService chooses among the services of a rule.
+// chooseService picks one of the rule's services if routing has not.
 func (x *exchange) chooseService() *outcome.Error {
 	if x.match.Service == nil {
-		x.match.Service = x.h.splits.service(x.snap, x.match.Rule)
+		x.match.Service = x.h.splitter.service(x.snap, x.match.Rule)
 	}
 	if x.match.Service == nil {
-		return refuse(outcome.StepRoute, http.StatusServiceUnavailable, "the service of this route is not known")
+		return notRunError(outcome.StepRoute, http.StatusServiceUnavailable, "the service of this route is not known")
 	}
 	return nil
 }
 
-// timeout is the caller's timeout, or the default of the route or class, less a margin for the
-// final answer.
+// timeout returns totalTimeout less a margin for sending the final response, at most the route's limit.
 func (x *exchange) timeout() time.Duration {
 	t := x.totalTimeout()
-	t -= min(t/marginFraction, maxMargin)
+	t -= min(t/timeoutMarginDivisor, maxTimeoutMargin)
 	if bound := x.match.Route.MaxTimeoutMS.Duration(); bound > 0 {
 		return min(t, bound)
 	}
 	return t
 }
 
-// objectKey returns the object of the request; "" if there is none or targets cache none.
+// objectKey returns the object key of the request; "" if there is none, or if the rule has no affinity
+// because its targets cache no objects.
 func (x *exchange) objectKey() string {
 	if r := x.match.Rule; r != nil && !r.Affinity {
 		return ""
 	}
-	return first(x.r.Header, x.h.deps.Dialect.ObjectKey)
+	return headerValue(x.r.Header, x.h.deps.Dialect.ObjectKey)
 }
 
 func (x *exchange) totalTimeout() time.Duration {
-	ms, err := strconv.ParseInt(first(x.r.Header, x.h.deps.Dialect.CallerTimeoutMS), 10, 64)
+	ms, err := strconv.ParseInt(headerValue(x.r.Header, x.h.deps.Dialect.CallerTimeoutMS), 10, 64)
 	if err == nil && ms > 0 {
 		return min(time.Duration(min(ms, maxTimeout.Milliseconds()))*time.Millisecond, maxTimeout)
 	}
@@ -209,43 +209,43 @@
 	return x.snap.Document.Limits.MaxBodyBytes
 }
 
-// readBody reads a small body before a slot is acquired, and prepares to stream a larger one.
+// readBody reads a small body before a slot is acquired, and prepares streaming for any other.
 func (x *exchange) readBody() *outcome.Error {
-	x.head = x.headDigest()
+	x.headDigest = x.computeHeadDigest()
 	length := x.r.ContentLength
 	if length == 0 {
-		x.whole = x.head.Of(nil)
+		x.requestDigest = x.headDigest.Of(nil)
 		return nil
 	}
 	limits := &x.snap.Document.Limits
 	x.stream = &upload{
-		body:  x.r.Body,
-		rc:    x.rc,
-		clock: x.h.deps.Clock,
-		idle:  limits.IdleTimeoutMS.Duration(),
-		left:  x.maxBody(),
-		sum:   x.head.Body(),
+		body:        x.r.Body,
+		rc:          x.rc,
+		clock:       x.h.deps.Clock,
+		idleTimeout: limits.IdleTimeoutMS.Duration(),
+		remaining:   x.maxBody(),
+		hasher:      x.headDigest.Body(),
 	}
 	if length < 0 || length > limits.ReplayBodyBytes || len(x.r.Trailer) > 0 {
 		return nil
 	}
-	body, err := readSmall(x.stream, length)
+	body, err := readBuffered(x.stream, length)
 	if err != nil {
-		return refuse(outcome.StepParse, http.StatusRequestTimeout, "the body could not be read")
+		return notRunError(outcome.StepParse, http.StatusRequestTimeout, "the body could not be read")
 	}
 	x.body, x.stream = body, nil
-	x.whole = x.head.Of(body)
+	x.requestDigest = x.headDigest.Of(body)
 	return nil
 }
 
-// claimKey claims the idempotency key of a non-idempotent request.
-func (x *exchange) claimKey() *outcome.Error {
-	key := first(x.r.Header, x.h.deps.Dialect.IdempotencyKey)
+// claimIdempotencyKey claims the idempotency key of a request that is not repeatable.
+func (x *exchange) claimIdempotencyKey() *outcome.Error {
+	key := headerValue(x.r.Header, x.h.deps.Dialect.IdempotencyKey)
 	if key == "" || x.repeatable {
 		return nil
 	}
 	if x.h.deps.Keys == nil {
-		return refuse(outcome.StepClaim, http.StatusNotImplemented, "idempotency keys are not served here")
+		return notRunError(outcome.StepClaim, http.StatusNotImplemented, "idempotency keys are not served here")
 	}
 	ctx, cancel := context.WithDeadlineCause(x.r.Context(), x.deadline, errDeadline)
 	defer cancel()
@@ -259,15 +259,15 @@
 		return outcome.From(err, outcome.StepClaim)
 	}
 	x.claim = claim
-	x.record = &recording{limit: x.snap.Document.Limits.RecordedAnswerBytes}
+	x.recorder = &responseRecorder{limit: x.snap.Document.Limits.RecordedAnswerBytes}
 	return nil
 }
 
-// run makes attempts until the request is answered or given up.
+// run makes attempts until the request is answered or has failed.
 func (x *exchange) run() *outcome.Error {
 	parent := x.r.Context()
 	if x.claim != nil {
-		// A keyed run continues without its caller, as the answer is kept.
+		// A run with an idempotency key continues if the caller disconnects: the response is recorded.
 		parent = context.WithoutCancel(parent)
 	}
 	ctx, cancel := context.WithDeadlineCause(parent, x.deadline, errDeadline)
@@ -275,54 +275,54 @@
 	x.h.stripHeaders(x.r.Header)
 	x.h.stripInternal(x.r.Trailer)
 	retry := &x.snap.Document.Retry
-	x.h.budget.attempted(x.match.Service.Name, retry)
-	x.dispatch.rule = x.retryRule(retry)
+	x.h.retryBudget.depositForService(x.match.Service.Name, retry)
+	x.dispatch.policy = x.retryPolicy(retry)
 	for {
-		x.dispatch.begin()
-		end := x.attempt(ctx)
-		d := x.dispatch.end(end, x.h.deps.Clock.Now())
-		x.h.faults.note(x, &end)
-		switch d.verdict {
-		case verdictDone:
+		x.dispatch.startAttempt()
+		result := x.attempt(ctx)
+		d := x.dispatch.decide(result, x.h.deps.Clock.Now())
+		x.h.faults.logDropped(x, &result)
+		switch d.action {
+		case actionDone:
 			return nil
-		case verdictFail:
+		case actionFail:
 			return d.err
-		case verdictAbort:
+		case actionAbort:
 			x.abort(d.err)
-		case verdictRetry:
+		case actionRetry:
 			x.awaitProbe(ctx)
-			if err := x.pause(ctx, d.wait); err != nil {
+			if err := x.waitBeforeRetry(ctx, d.wait); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// pause waits before the next attempt.
-func (x *exchange) pause(ctx context.Context, wait time.Duration) *outcome.Error {
+// waitBeforeRetry waits before the next attempt; it fails if the request ends first.
+func (x *exchange) waitBeforeRetry(ctx context.Context, wait time.Duration) *outcome.Error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return nil
 	case <-ctx.Done():
-		return x.dispatch.failure(attemptEnd{Step: outcome.StepAdmit, Fault: faultOf(context.Cause(ctx), FaultCallerGone)})
+		return x.dispatch.failure(attemptResult{Step: outcome.StepAdmit, Fault: faultOf(context.Cause(ctx), FaultCallerGone)})
 	}
 }
 
-// abort breaks the caller's connection, so that a partial answer is not taken for complete.
+// abort aborts the caller's connection, so that a partial response is not taken for a complete one.
 func (x *exchange) abort(err *outcome.Error) {
-	x.observe(err)
-	x.h.faults.failed(x, err)
+	x.recordMetrics(err)
+	x.h.faults.logFailed(x, err)
 	if x.claim != nil {
 		x.claim.Finish(err.Outcome, nil)
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// finish answers with an error, ends the claim and counts.
-func (x *exchange) finish(err *outcome.Error) {
-	x.observe(err)
+// complete records the result, ends the claim and sends an error response if there is an error.
+func (x *exchange) complete(err *outcome.Error) {
+	x.recordMetrics(err)
 	if err == nil {
 		x.logAnswered()
 	}
@@ -330,19 +330,19 @@
 		x.finishClaim(err)
 	}
 	if err != nil {
-		x.h.faults.failed(x, err)
+		x.h.faults.logFailed(x, err)
 		writeError(x.w, x.id, err, x.h.deps.Dialect)
 	}
 }
 
 func (x *exchange) logAnswered() {
-	x.h.deps.Logger.Log(eventAnswered, append(x.logFields(),
+	x.h.deps.Logger.Log(eventRequestAnswered, append(x.logFields(),
 		telemetry.Peer(x.tried[len(x.tried)-1]),
 		telemetry.Value("status", x.status),
-		telemetry.Value("sent_ms", x.sentFor.Milliseconds()))...)
+		telemetry.Value("sent_ms", x.targetLatency.Milliseconds()))...)
 }
 
-// logFields are the fields of a request's last line.
+// logFields returns the fields of the request's final log line.
 func (x *exchange) logFields() []telemetry.Field {
 	fields := []telemetry.Field{
 		telemetry.Value("request_id", x.id),
@@ -372,16 +372,16 @@
 		x.claim.Finish(err.Outcome, nil)
 		return
 	}
-	x.claim.Finish(outcome.Answered, x.record.answer())
+	x.claim.Finish(outcome.Answered, x.recorder.answer())
 }
 
-// faultOf returns the fault by the cause of a canceled context or an error.
+// faultOf returns the fault of an error or of the cause of a canceled context.
 func faultOf(err error, otherwise Fault) Fault {
 	switch {
 	case errors.Is(err, errDeadline):
 		return FaultDeadline
-	case errors.Is(err, errTargetSilent):
-		return FaultSilent
+	case errors.Is(err, errTargetTimeout):
+		return FaultTargetTimeout
 	case errors.Is(err, errCallerSlow):
 		return FaultCallerSlow
 	case errors.Is(err, context.Canceled):
--- a/internal/forward/faultlog.go
+++ b/internal/forward/faultlog.go
@@ -7,32 +7,32 @@
 	"masticturn/internal/telemetry"
 )
 
-// faultLog logs failures of requests. The logger limits the lines.
+// faultLog logs failed requests. The logger limits the rate of lines.
 type faultLog struct{ logger *telemetry.Logger }
 
 func newFaultLog(l *telemetry.Logger) *faultLog { return &faultLog{logger: l} }
 
-// note logs a dropped answer.
-func (f *faultLog) note(x *exchange, end *attemptEnd) {
-	if end.Fault != FaultCrossed && end.Fault != FaultShort {
+// logDropped logs an attempt whose response was dropped as invalid.
+func (f *faultLog) logDropped(x *exchange, result *attemptResult) {
+	if result.Fault != FaultMismatched && result.Fault != FaultTruncated {
 		return
 	}
 	f.logger.Log(eventAnswerDropped,
-		telemetry.Peer(end.Peer),
-		telemetry.Step(string(end.Step)),
+		telemetry.Peer(result.Peer),
+		telemetry.Step(string(result.Step)),
 		telemetry.Value("request_id", x.id),
-		telemetry.Value("fault", end.Fault.String()),
-		telemetry.Err(trace.Wrap(end.Err)))
+		telemetry.Value("fault", result.Fault.String()),
+		telemetry.Err(trace.Wrap(result.Err)))
 }
 
-// failed logs a request without a complete answer.
-func (f *faultLog) failed(x *exchange, err *outcome.Error) {
+// logFailed logs a request that ended without a complete response.
+func (f *faultLog) logFailed(x *exchange, err *outcome.Error) {
 	fields := append(x.logFields(),
 		telemetry.Peer(err.Peer),
 		telemetry.Value("digest", x.digestText()),
 		telemetry.Step(string(err.Step)),
 		telemetry.Value("outcome", err.Outcome.String()),
-		telemetry.Value("status", status(err)),
+		telemetry.Value("status", errorStatus(err)),
 		telemetry.Value("retry_after_ms", err.RetryAfter.Milliseconds()),
 		telemetry.Err(trace.Wrap(err)))
 	f.logger.Log(eventRequestFailed, fields...)
--- a/internal/forward/faults_connect_test.go
+++ b/internal/forward/faults_connect_test.go
@@ -16,25 +16,25 @@
 	"masticturn/internal/telemetry"
 )
 
-// A target to which no connection can be opened, because nothing comes back at
-// all, has surely not run the request; another one gets it.
+// A request whose connection attempt times out has not been run, so it is sent to
+// another target.
 func TestSilentConnectIsNotRun(t *testing.T) {
-	good := newScripted(t)
-	good.set(whole(okAnswer))
-	const mute = "127.0.0.1:1"
+	healthy := newScripted(t)
+	healthy.set(fullAnswer(okAnswer))
+	const unreachable = "127.0.0.1:1"
 	tests := []struct {
 		name, want string
 		targets    []string
 	}{
-		{"alone", "not-run", []string{mute}},
-		{"with another", "answered", []string{mute, good.address}},
+		{"alone", "not-run", []string{unreachable}},
+		{"with another", "answered", []string{unreachable, healthy.address}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			doc := document(tt.targets...)
-			b := newBench(t, doc, nil, telemetry.Discard())
+			doc := testDocument(tt.targets...)
+			b := newTestProxy(t, doc, nil, telemetry.Discard())
 			dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-				if address == mute {
+				if address == unreachable {
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
@@ -53,10 +53,11 @@
 	}
 }
 
-// A target that takes an upload's first bytes and then reads no more, without
-// closing, may run it: unknown, sent nowhere else, and its slot is free again.
-// The caller still sends when it is answered, so that its connection may be
-// reset before it reads the answer, which tells it as little.
+// A target that reads the first bytes of an upload and then stops reading, without
+// closing the connection, may run it: the outcome is unknown, the upload is not sent
+// to another target, and the slot is released. The caller is still sending when the
+// error response comes, so its connection may be reset before it reads the response;
+// it then can't know the outcome either.
 func TestTargetThatStopsReadingIsUnknown(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,11 +71,11 @@
 		}
 	}()
 	good := newScripted(t)
-	good.set(whole(okAnswer))
-	doc := document(l.Addr().String(), good.address)
+	good.set(fullAnswer(okAnswer))
+	doc := testDocument(l.Addr().String(), good.address)
 	doc.Limits.IdleTimeoutMS = 200
-	b := newBench(t, doc, nil, telemetry.Discard())
-	resp, _, err := b.call(t, "PUT", "/svc/a", io.LimitReader(endless{}, 48<<20))
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
+	resp, _, err := b.call(t, "PUT", "/svc/a", io.LimitReader(endlessReader{}, 48<<20))
 	if err == nil && (resp.Header.Get(edge.HeaderOutcome) != "unknown" || resp.Header.Get(edge.HeaderStep) != "send") {
 		t.Errorf("got %v", resp)
 	}
@@ -88,15 +89,15 @@
 	}
 }
 
-// That nobody listens at a target's address is told apart from a target that
-// can't be reached: whoever listens there next has started since.
-func TestNobodyListensAtTheTarget(t *testing.T) {
+// A refused connection is reported separately from an unreachable target: the next
+// process that listens at that address was started later.
+func TestRefusedConnectionIsReported(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = closed.Close()
-	b := newBench(t, document(closed.Addr().String()), nil, telemetry.Discard())
+	b := newTestProxy(t, testDocument(closed.Addr().String()), nil, telemetry.Discard())
 	if _, _, err := b.call(t, "GET", "/svc/a", nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forward/faults_slow_test.go
+++ b/internal/forward/faults_slow_test.go
@@ -11,18 +11,18 @@
 	"masticturn/internal/telemetry"
 )
 
-// slowReader reads with a pause before each part.
+// slowReader pauses before each read.
 type slowReader struct{ r io.Reader }
 
 func (s slowReader) Read(p []byte) (int, error) {
 	time.Sleep(5 * time.Millisecond)
-	return s.r.Read(p[:min(len(p), bufferBytes)])
+	return s.r.Read(p[:min(len(p), relayBufferBytes)])
 }
 
-// A target that sends its answer in slow parts, and a caller that reads it in
-// slow parts, get it whole, as long as no pause is too long.
+// A response that is sent and read slowly is relayed completely, as long as no pause
+// exceeds the idle timeout.
 func TestSlowPartsArriveWhole(t *testing.T) {
-	part := strings.Repeat("x", bufferBytes)
+	part := strings.Repeat("x", relayBufferBytes)
 	const parts = 10
 	address := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		for range parts {
@@ -31,7 +31,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	})
-	b := newBench(t, oneAttempt(address), nil, telemetry.Discard())
+	b := newTestProxy(t, singleAttemptDocument(address), nil, telemetry.Discard())
 	resp, err := b.client.Get(b.URL + "/svc/a")
 	if err != nil {
 		t.Fatal(err)
@@ -43,22 +43,22 @@
 	}
 }
 
-// A caller whose connection ends in the middle of a body that is kept whole
-// before it is sent: no target sees the request, and no slot is taken.
+// If the caller disconnects in the middle of a small body, which is buffered first, no
+// slot is acquired and no target gets the request.
 func TestCallerThatBreaksOffItsBodyIsNotRun(t *testing.T) {
 	target := newScripted(t)
-	target.set(whole(okAnswer))
-	b := newBench(t, document(target.address), nil, telemetry.Discard())
+	target.set(fullAnswer(okAnswer))
+	b := newTestProxy(t, testDocument(target.address), nil, telemetry.Discard())
 	conn, err := net.Dial("tcp", b.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = io.WriteString(conn, "POST /svc/a HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhello")
 	_ = conn.(*net.TCPConn).CloseWrite()
-	_, _ = io.Copy(io.Discard, conn) // until it is given up
+	_, _ = io.Copy(io.Discard, conn) // until the request is rejected
 	_ = conn.Close()
 	held := b.heldPermits()
 	if begun, _ := target.counts(); begun != 0 || held != 0 || b.admission.requests != 0 {
-		t.Errorf("the target saw it %d times, %d slots were asked for, %d are held", begun, b.admission.requests, held)
+		t.Errorf("the target got it %d times, %d slots were requested, %d are held", begun, b.admission.requests, held)
 	}
 }
--- a/internal/forward/faults_test.go
+++ b/internal/forward/faults_test.go
@@ -15,20 +15,20 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789"
 
-// oneAttempt returns a document whose requests are tried once.
-func oneAttempt(targets ...string) *config.Document {
-	doc := document(targets...)
+// singleAttemptDocument returns a document that allows one attempt per request.
+func singleAttemptDocument(targets ...string) *config.Document {
+	doc := testDocument(targets...)
 	doc.Retry.MaxAttempts = 1
 	return doc
 }
 
-// A target that closes its connection at any byte of the exchange never sees
-// a request twice, a caller never sees a part of an answer, and nobody is told
-// that a request was not run which ran.
+// If a target closes its connection at any byte of the exchange, it does not get the
+// request twice, the caller does not get a partial response, and a request that ran
+// is not reported as not run.
 func TestTargetClosesAtEveryByte(t *testing.T) {
 	target := newScripted(t)
-	b := newBench(t, oneAttempt(target.address), nil, telemetry.Discard())
-	target.set(whole(okAnswer))
+	b := newTestProxy(t, singleAttemptDocument(target.address), nil, telemetry.Discard())
+	target.set(fullAnswer(okAnswer))
 	if _, _, err := b.call(t, "GET", "/svc/a", strings.NewReader("payload")); err != nil {
 		t.Fatal(err)
 	}
@@ -41,8 +41,8 @@
 	}
 	for _, method := range []string{"GET", "POST"} {
 		for _, sc := range scripts {
-			// An idle connection is there for the request to be sent on.
-			target.set(whole(okAnswer))
+			// Leaves an idle connection for the next request.
+			target.set(fullAnswer(okAnswer))
 			if resp, body, err := b.call(t, "GET", "/svc/a", nil); err != nil || resp.StatusCode != http.StatusOK || body != "0123456789" {
 				t.Fatal(resp, body, err)
 			}
@@ -53,13 +53,13 @@
 			}
 			begun, executed := target.counts()
 			if begun > 1 || executed > 1 {
-				t.Errorf("%s %+v: the target saw it %d times and ran it %d times", method, sc, begun, executed)
+				t.Errorf("%s %+v: the target got it %d times and ran it %d times", method, sc, begun, executed)
 			}
 			if resp.StatusCode == http.StatusOK {
-				t.Errorf("%s %+v: got %q as if it were whole", method, sc, body)
+				t.Errorf("%s %+v: got %q as a complete response", method, sc, body)
 			}
 			if o := resp.Header.Get(edge.HeaderOutcome); executed > 0 && o != "unknown" {
-				t.Errorf("%s %+v: it ran, and the caller is told %q", method, sc, o)
+				t.Errorf("%s %+v: it ran, but the reported outcome is %q", method, sc, o)
 			}
 		}
 	}
@@ -72,30 +72,30 @@
 		close        bool // after the answer
 		fault        string
 	}{
-		{"crossed", head + "X-Request-Id: other\r\nContent-Length: 2\r\n\r\nok", false, FaultCrossed.String()},
-		{"shorter than its length", head + "Content-Length: 20\r\n\r\nok", true, FaultShort.String()},
-		{"chunks without an end", head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", true, FaultShort.String()},
-		{"no length", head + "\r\nok", true, FaultShort.String()},
-		{"two lengths", head + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nok!", false, FaultBroken.String()},
-		{"headers only", head + "Content-Length: 2\r\n\r\n", true, FaultShort.String()},
-		{"half a head", "HTTP/1.1 200 O", true, FaultBroken.String()},
-		{"not HTTP", "hello\r\n\r\n", true, FaultBroken.String()},
-		{"protocol switch", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", true, FaultShort.String()},
+		{"crossed", head + "X-Request-Id: other\r\nContent-Length: 2\r\n\r\nok", false, FaultMismatched.String()},
+		{"shorter than its length", head + "Content-Length: 20\r\n\r\nok", true, FaultTruncated.String()},
+		{"chunks without an end", head + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", true, FaultTruncated.String()},
+		{"no length", head + "\r\nok", true, FaultTruncated.String()},
+		{"two lengths", head + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nok!", false, FaultConnectionBroken.String()},
+		{"headers only", head + "Content-Length: 2\r\n\r\n", true, FaultTruncated.String()},
+		{"half a head", "HTTP/1.1 200 O", true, FaultConnectionBroken.String()},
+		{"not HTTP", "hello\r\n\r\n", true, FaultConnectionBroken.String()},
+		{"protocol switch", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", true, FaultTruncated.String()},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			target := newScripted(t)
-			sc := whole(tt.answer)
+			sc := fullAnswer(tt.answer)
 			if tt.close {
 				sc.writeBytes = len(tt.answer)
 			}
 			target.set(sc)
-			b := newBench(t, oneAttempt(target.address), nil, telemetry.Discard())
+			b := newTestProxy(t, singleAttemptDocument(target.address), nil, telemetry.Discard())
 			resp, body, err := b.call(t, "GET", "/svc/a", nil)
 			if tt.name == "chunks without an end" {
-				// A streamed part went out: the caller must see the cut.
+				// A part was already streamed, so the caller must see an error.
 				if err == nil {
-					t.Errorf("got %q as if it were whole", body)
+					t.Errorf("got %q as a complete response", body)
 				}
 				return
 			}
@@ -127,12 +127,12 @@
 		runs++
 		_, _ = io.Copy(w, r.Body)
 	})
-	b := newBench(t, document(shedding, good), nil, telemetry.Discard())
+	b := newTestProxy(t, testDocument(shedding, good), nil, telemetry.Discard())
 	resp, body, err := b.call(t, "POST", "/svc/a", strings.NewReader("book"))
 	if err != nil || resp.StatusCode != http.StatusOK || body != "book" || runs != 1 {
 		t.Errorf("got %v %q %v after %d runs", resp, body, err, runs)
 	}
-	b = newBench(t, document(shedding), nil, telemetry.Discard())
+	b = newTestProxy(t, testDocument(shedding), nil, telemetry.Discard())
 	resp, _, err = b.call(t, "POST", "/svc/a", strings.NewReader("book"))
 	if err != nil {
 		t.Fatal(err)
@@ -146,38 +146,38 @@
 	var targets []string
 	for i := range 8 {
 		target := newScripted(t)
-		target.set(whole(okAnswer))
+		target.set(fullAnswer(okAnswer))
 		if i%2 == 0 {
 			target.set(script{readBytes: -1, writeBytes: 0})
 		}
 		targets = append(targets, target.address)
 	}
-	doc := document(targets...)
+	doc := testDocument(targets...)
 	doc.Retry.MaxAttempts = 4
-	b := newBench(t, doc, nil, telemetry.Discard())
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
 	const requests = 2000
 	for range requests {
 		if _, _, err := b.call(t, "GET", "/svc/a", nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// The saved-up burst comes on top of the fraction.
-	most := requests + requests/10 + config.DefaultBudgetBurst
-	if b.admission.attempts > most {
-		t.Errorf("%d attempts for %d requests, want at most %d", b.admission.attempts, requests, most)
+	// The initial burst is added to the fraction.
+	maxAttempts := requests + requests/10 + config.DefaultBudgetBurst
+	if b.admission.attempts > maxAttempts {
+		t.Errorf("%d attempts for %d requests, want at most %d", b.admission.attempts, requests, maxAttempts)
 	}
 	if b.admission.attempts < requests+requests/20 {
-		t.Errorf("%d attempts for %d requests: the budget is hardly used", b.admission.attempts, requests)
+		t.Errorf("%d attempts for %d requests: the budget was hardly used", b.admission.attempts, requests)
 	}
 }
 
-// The error of a target goes to the caller's JSON answer and to the log, with
-// the step and the peer.
-func TestErrorTravelsFromTargetToCallerAndLog(t *testing.T) {
+// The caller's error response and the log contain the step, the peer and the outcome
+// of a failed attempt.
+func TestErrorIsReportedToCallerAndLog(t *testing.T) {
 	target := newScripted(t)
 	target.set(script{readBytes: -1, writeBytes: 0})
 	var log syncBuffer
-	b := newBench(t, oneAttempt(target.address), nil, newTestLogger(&log))
+	b := newTestProxy(t, singleAttemptDocument(target.address), nil, newTestLogger(&log))
 	_, body, err := b.call(t, "POST", "/svc/a", strings.NewReader("x"), edge.HeaderRequestID, "id-7")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -27,7 +27,8 @@
 	"masticturn/internal/telemetry"
 )
 
-// fixedConfig is a config.Source with one snapshot.
+// fixedConfig is a config.Source with one snapshot. It also serves as locator and
+// observer.
 type fixedConfig struct{ snap *config.Snapshot }
 
 func (c fixedConfig) Current() *config.Snapshot               { return c.snap }
@@ -35,19 +36,19 @@
 func (c fixedConfig) Locate(netip.Addr) lookup.Place          { return lookup.Place{Region: "r1"} }
 func (c fixedConfig) Observe(measure.Observation)             {}
 
-// roundRobin admits everything, at the targets in turn.
-type roundRobin struct {
-	mu       sync.Mutex
-	next     int
-	held     int
-	released []admission.Result
-	requests int // first attempts
-	attempts int
-	void     int  // so many permits are lost while they are held
-	sticky   bool // the first target that was not tried is taken, not the next one
+// roundRobinAdmitter admits all requests to the targets in turn.
+type roundRobinAdmitter struct {
+	mu             sync.Mutex
+	next           int
+	held           int
+	released       []admission.Result
+	requests       int // first attempts
+	attempts       int
+	invalidPermits int  // number of further permits that are invalid
+	sticky         bool // always pick the first target that is not excluded
 }
 
-func (a *roundRobin) Acquire(_ context.Context, r *admission.Request) (admission.Permit, error) {
+func (a *roundRobinAdmitter) Acquire(_ context.Context, r *admission.Request) (admission.Permit, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.attempts++
@@ -62,8 +63,8 @@
 		a.next++
 		if !contains(r.Exclude, t.Name) {
 			a.held++
-			a.void--
-			return &permit{a: a, t: t, void: a.void >= 0}, nil
+			a.invalidPermits--
+			return &testPermit{a: a, t: t, invalid: a.invalidPermits >= 0}, nil
 		}
 	}
 	return nil, &outcome.Error{Outcome: outcome.NotRun, Step: outcome.StepAdmit, Reason: "all targets were tried"}
@@ -78,28 +79,29 @@
 	return false
 }
 
-type permit struct {
-	a    *roundRobin
-	t    *config.TargetIndex
-	void bool
+type testPermit struct {
+	a       *roundRobinAdmitter
+	t       *config.TargetIndex
+	invalid bool
 }
 
-var _ admission.Checked = (*permit)(nil)
+var _ admission.Checked = (*testPermit)(nil)
 
-func (p *permit) Valid() bool { return !p.void }
+func (p *testPermit) Valid() bool { return !p.invalid }
 
-func (p *permit) Target() *config.TargetIndex { return p.t }
-func (p *permit) Shifted() bool               { return false }
-func (p *permit) Release(r admission.Result) {
+func (p *testPermit) Target() *config.TargetIndex { return p.t }
+func (p *testPermit) Shifted() bool               { return false }
+func (p *testPermit) Release(r admission.Result) {
 	p.a.mu.Lock()
 	defer p.a.mu.Unlock()
 	p.a.held--
 	p.a.released = append(p.a.released, r)
 }
 
-// document returns a document with one service on the given targets: "get"
-// may be repeated, "commit" must not, "keyed" needs a key.
-func document(targets ...string) *config.Document {
+// testDocument returns a document with one service on the given targets. Requests
+// below "/svc/keyed" require an idempotency key. GET and PUT requests are repeatable,
+// POST requests are not.
+func testDocument(targets ...string) *config.Document {
 	doc := &config.Document{
 		Fleet:   config.Fleet{MaxVMs: 1},
 		Regions: []config.Region{{Name: "r1", Zones: []string{"z1"}}},
@@ -123,33 +125,33 @@
 	return doc
 }
 
-// bench is a handler behind a real listener.
-type bench struct {
+// testProxy is a Handler served by an HTTP server, with a client.
+type testProxy struct {
 	*httptest.Server
 	handler   *Handler
-	admission *roundRobin
+	admission *roundRobinAdmitter
 	client    *http.Client
 }
 
-func newBench(t testing.TB, doc *config.Document, keys idempotency.Registry, logger *telemetry.Logger) *bench {
+func newTestProxy(t testing.TB, doc *config.Document, keys idempotency.Registry, logger *telemetry.Logger) *testProxy {
 	t.Helper()
-	return newBenchWithClock(t, doc, keys, logger, kernel.SystemClock{})
+	return newTestProxyWithClock(t, doc, keys, logger, kernel.SystemClock{})
 }
 
-func newBenchWithClock(t testing.TB, doc *config.Document, keys idempotency.Registry, logger *telemetry.Logger, clock kernel.Clock) *bench {
+func newTestProxyWithClock(t testing.TB, doc *config.Document, keys idempotency.Registry, logger *telemetry.Logger, clock kernel.Clock) *testProxy {
 	t.Helper()
 	snap, err := config.NewSnapshot(1, doc)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := fixedConfig{snap}
-	a := &roundRobin{}
+	a := &roundRobinAdmitter{}
 	h := NewHandler(Deps{
 		Config: c, Admission: a, Locator: c, Measure: c, Keys: keys,
 		Dial: (&net.Dialer{}).DialContext, Logger: logger, Metrics: metrics.NewSet(),
 		VM: settings.VM{Name: "vm1", Zone: "z1", Region: "r1"}, Clock: clock,
 	})
-	b := &bench{Server: httptest.NewServer(h), handler: h, admission: a}
+	b := &testProxy{Server: httptest.NewServer(h), handler: h, admission: a}
 	b.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	t.Cleanup(func() {
 		b.client.CloseIdleConnections()
@@ -159,9 +161,9 @@
 	return b
 }
 
-// heldPermits waits until no request is in flight and returns the permits that
-// were not released.
-func (b *bench) heldPermits() int {
+// heldPermits waits until no request is in flight and returns the number of permits
+// that were not released.
+func (b *testProxy) heldPermits() int {
 	for b.handler.InFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -178,9 +180,9 @@
 	return s.Listener.Addr().String()
 }
 
-// call sends one request and returns the answer with its body read; err is of
-// reading the body.
-func (b *bench) call(t testing.TB, method, path string, body io.Reader, header ...string) (*http.Response, string, error) {
+// call sends one request and returns the response and its body; the error may be
+// of reading the body. header holds names and values alternately.
+func (b *testProxy) call(t testing.TB, method, path string, body io.Reader, header ...string) (*http.Response, string, error) {
 	t.Helper()
 	req, err := http.NewRequest(method, b.URL+path, body)
 	if err != nil {
@@ -201,9 +203,9 @@
 	return resp, string(raw), err
 }
 
-var typeOfAttemptEnd = reflect.TypeFor[attemptEnd]()
+var attemptResultType = reflect.TypeFor[attemptResult]()
 
-// syncBuffer is a buffer for log lines.
+// syncBuffer is a buffer for log lines that is safe for concurrent use.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
--- a/internal/forward/frontend.go
+++ b/internal/forward/frontend.go
@@ -14,7 +14,7 @@
 	"masticturn/internal/config"
 )
 
-// headLimits bounds the heads of requests. They are fixed for the life of an http.Server.
+// headLimits limits the heads of requests and the idle time. An http.Server can't change its limits.
 type headLimits struct {
 	bytes   int
 	timeout time.Duration
@@ -38,14 +38,15 @@
 	return l
 }
 
-// frontend serves each new connection with the limits in force. Open connections keep theirs.
+// frontend serves connections with a new http.Server after each change of the limits. Open connections
+// keep their server and its limits.
 type frontend struct {
 	listener net.Listener
 	handler  http.Handler
 
 	mu      sync.Mutex
 	limits  headLimits
-	current *feed
+	current *connListener
 	servers []*http.Server
 }
 
@@ -70,19 +71,19 @@
 		MaxHeaderBytes:    l.bytes,
 		ReadHeaderTimeout: l.timeout,
 		IdleTimeout:       l.idle,
-		ErrorLog:          log.New(discard{}, "", 0),
+		ErrorLog:          log.New(discardWriter{}, "", 0),
 	}
-	f.limits, f.current = l, newFeed(f.listener.Addr())
+	f.limits, f.current = l, newConnListener(f.listener.Addr())
 	f.servers = append(f.servers, server)
 	current := f.current
 	go func() { _ = server.Serve(current) }()
 }
 
-// discard drops the server's own log lines about canceled requests.
-type discard struct{}
+// discardWriter discards the log lines of http.Server about canceled requests.
+type discardWriter struct{}
 
 // Write implements io.Writer.
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
 // serve accepts connections until the listener is closed.
 func (f *frontend) serve() {
@@ -92,27 +93,27 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptErrorDelay)
 			continue
 		}
-		f.give(conn)
+		f.handOff(conn)
 	}
 }
 
-// give passes a connection to the current server; a feed closed meanwhile has a successor, or all
-// is shut down.
-func (f *frontend) give(conn net.Conn) {
+// handOff passes a connection to the current server. If that server's listener was closed meanwhile, it
+// tries the next server, or closes the connection if there is none because of a shutdown.
+func (f *frontend) handOff(conn net.Conn) {
 	for {
 		f.mu.Lock()
 		current := f.current
 		f.mu.Unlock()
-		if current.put(conn) {
+		if current.deliver(conn) {
 			return
 		}
 		f.mu.Lock()
-		over := f.current == current
+		shutDown := f.current == current
 		f.mu.Unlock()
-		if over {
+		if shutDown {
 			_ = conn.Close()
 			return
 		}
@@ -122,16 +123,16 @@
 // shutdown stops accepting and waits for the requests in flight.
 func (f *frontend) shutdown(ctx context.Context) error {
 	_ = f.listener.Close()
-	return f.each(func(s *http.Server) error { return s.Shutdown(ctx) })
+	return f.forEachServer(func(s *http.Server) error { return s.Shutdown(ctx) })
 }
 
 // close closes all connections.
 func (f *frontend) close() error {
 	_ = f.listener.Close()
-	return f.each((*http.Server).Close)
+	return f.forEachServer((*http.Server).Close)
 }
 
-func (f *frontend) each(do func(*http.Server) error) error {
+func (f *frontend) forEachServer(do func(*http.Server) error) error {
 	f.mu.Lock()
 	servers := f.servers
 	_ = f.current.Close()
@@ -145,45 +146,45 @@
 	return trace.NewAggregate(errs...)
 }
 
-// feed is a net.Listener fed with accepted connections.
-type feed struct {
+// connListener is a net.Listener that returns connections accepted by another listener.
+type connListener struct {
 	addr   net.Addr
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-var _ net.Listener = (*feed)(nil)
+var _ net.Listener = (*connListener)(nil)
 
-func newFeed(addr net.Addr) *feed {
-	return &feed{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
+func newConnListener(addr net.Addr) *connListener {
+	return &connListener{addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// put passes a connection to the acceptor; false if the feed is closed.
-func (f *feed) put(conn net.Conn) bool {
+// deliver passes a connection to Accept; false if the listener is closed.
+func (l *connListener) deliver(conn net.Conn) bool {
 	select {
-	case f.conns <- conn:
+	case l.conns <- conn:
 		return true
-	case <-f.closed:
+	case <-l.closed:
 		return false
 	}
 }
 
 // Accept implements net.Listener.
-func (f *feed) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-f.conns:
+	case conn := <-l.conns:
 		return conn, nil
-	case <-f.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (f *feed) Close() error {
-	f.once.Do(func() { close(f.closed) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *feed) Addr() net.Addr { return f.addr }
+func (l *connListener) Addr() net.Addr { return l.addr }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -1,5 +1,5 @@
-// Package forward is the request path: it forwards a caller's request to a target and relays the
-// complete answer. On failure it reports the true outcome.
+// Package forward implements the request path: it forwards a caller's request to a target and relays
+// the complete response. On failure it reports whether the request may have run.
 package forward
 
 import (
@@ -27,78 +27,78 @@
 	"masticturn/internal/telemetry"
 )
 
-// bufferBytes is the size of relay buffers. Answers up to this size are read completely before
-// their first byte is sent to the caller.
-const bufferBytes = 32 << 10
+// relayBufferBytes is the size of relay buffers. Responses up to this size are read completely
+// before their first byte is sent to the caller.
+const relayBufferBytes = 32 << 10
 
-// Observer receives what targets report with their answers.
+// Observer receives the state that targets report in their responses.
 type Observer interface {
 	Observe(o measure.Observation)
 }
 
-// KeyGuard reports whether API keys may be used now.
+// KeyGuard reports whether the API keys in the document are recent enough to be accepted.
 type KeyGuard interface {
 	Current() bool
 }
 
-// Deps is what a Handler needs.
+// Deps holds the dependencies of a Handler.
 type Deps struct {
 	Config    config.Source
 	Admission admission.Admitter
 	Locator   lookup.Locator
 	Measure   Observer
-	Keys      idempotency.Registry // nil: keyed requests are refused
-	Screen    quarantine.Screen    // nil: all requests may run
-	KeyGuard  KeyGuard             // nil: keys may always be used
-	Limiter   ratelimit.Limiter    // nil: customers have no limits
-	// Expected returns targets to open connections to ahead of requests; nil: none.
+	Keys      idempotency.Registry // nil: requests with idempotency keys are rejected
+	Screen    quarantine.Screen    // nil: no quarantine checks
+	KeyGuard  KeyGuard             // nil: API keys are always accepted
+	Limiter   ratelimit.Limiter    // nil: customers have no rate limits
+	// Expected returns the targets to which connections are opened ahead of requests; nil: none.
 	Expected func() []*config.TargetIndex
 	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	Logger   *telemetry.Logger
 	Metrics  *metrics.Set
-	Dialect  *edge.Dialect // nil: the system's own
+	Dialect  *edge.Dialect // nil: edge.Native()
 	VM       settings.VM
 	Clock    kernel.Clock
 }
 
 // Handler forwards callers' requests. It is safe for concurrent use.
 type Handler struct {
-	deps       Deps
-	conns      *targetconn.Pools
-	budget     *budget
-	series     *seriesCache
-	faults     *faultLog
-	splits     *splitter
-	regions    *regionTally
-	ends       *endProbe
-	bodies     bodyBudget
-	ahead      targetconn.AheadBudget
-	repeatable *repeatableShares
-	buffers    sync.Pool
-	inFlight   atomic.Int64
-	closing    atomic.Bool
-	refusing   atomic.Bool
+	deps             Deps
+	conns            *targetconn.Pools
+	retryBudget      *retryBudget
+	series           *seriesCache
+	faults           *faultLog
+	splitter         *splitter
+	regions          *regionCounter
+	crashProber      *crashProber
+	readAheadMemory  memoryBudget
+	aheadBudget      targetconn.AheadBudget
+	repeatableShares *repeatableShares
+	buffers          sync.Pool
+	inFlight         atomic.Int64
+	closing          atomic.Bool
+	refusing         atomic.Bool
 }
 
 var _ http.Handler = (*Handler)(nil)
 
-// NewHandler returns a handler.
+// NewHandler creates a Handler. Close releases its connections.
 func NewHandler(d Deps) *Handler {
 	if d.Dialect == nil {
 		d.Dialect = edge.Native()
 	}
 	h := &Handler{
-		deps:       d,
-		conns:      targetconn.NewPools(targetconn.Deps{Dial: d.Dial, Clock: d.Clock, Metrics: d.Metrics}),
-		budget:     &budget{},
-		series:     newSeriesCache(d.Metrics),
-		faults:     newFaultLog(d.Logger),
-		splits:     newSplitter(),
-		regions:    newRegionTally(d.Logger, d.Metrics, d.Clock),
-		repeatable: newRepeatableShares(),
-		ends:       newEndProbe(d),
+		deps:             d,
+		conns:            targetconn.NewPools(targetconn.Deps{Dial: d.Dial, Clock: d.Clock, Metrics: d.Metrics}),
+		retryBudget:      &retryBudget{},
+		series:           newSeriesCache(d.Metrics),
+		faults:           newFaultLog(d.Logger),
+		splitter:         newSplitter(),
+		regions:          newRegionCounter(d.Logger, d.Metrics, d.Clock),
+		repeatableShares: newRepeatableShares(),
+		crashProber:      newCrashProber(d),
 	}
-	h.buffers.New = func() any { return new([bufferBytes]byte) }
+	h.buffers.New = func() any { return new([relayBufferBytes]byte) }
 	return h
 }
 
@@ -107,7 +107,7 @@
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
 	if h.closing.Load() {
-		setOne(w.Header(), "Connection", "close")
+		setHeader(w.Header(), "Connection", "close")
 	}
 	x := exchange{h: h, w: w, r: r, startedAt: h.deps.Clock.Now()}
 	x.serve()
@@ -116,28 +116,30 @@
 // InFlight returns the number of requests being served.
 func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
 
-// CloseConnections closes callers' connections with their next answer. Requests are still served.
+// CloseConnections makes each caller's connection close after its next response. Requests are still
+// served.
 func (h *Handler) CloseConnections() { h.closing.Store(true) }
 
-// Refuse makes the handler refuse further requests as not run, as this process is about to end.
+// Refuse makes the handler reject further requests as not run because this process is about to exit.
 func (h *Handler) Refuse() { h.refusing.Store(true) }
 
-// Adopt drops the state of targets that left the document.
+// Adopt drops the state of targets, rules and services that are not in the snapshot.
 func (h *Handler) Adopt(s *config.Snapshot) {
 	h.conns.Adopt(s)
-	h.budget.keep(func(target string) bool { return s.Target(target) != nil })
-	h.splits.keep(s.Document.Hosts)
-	h.repeatable.keep(s)
+	h.retryBudget.retain(func(target string) bool { return s.Target(target) != nil })
+	h.splitter.retain(s.Document.Hosts)
+	h.repeatableShares.retain(s)
 }
 
-// Sweep closes old idle connections. It must be called about once a second.
+// Sweep closes expired idle connections. It must be called about once a second.
 func (h *Handler) Sweep() { h.conns.Sweep() }
 
 // Close closes the idle connections to targets.
 func (h *Handler) Close() { h.conns.Close() }
 
-// place returns the caller's region and zone.
-func (h *Handler) place(r *http.Request) lookup.Place {
+// callerPlace returns the caller's region and availability zone, or this VM's if the caller's address
+// can't be parsed.
+func (h *Handler) callerPlace(r *http.Request) lookup.Place {
 	addr, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
 		return lookup.Place{Region: h.deps.VM.Region, Zone: h.deps.VM.Zone}
@@ -145,10 +147,10 @@
 	return h.deps.Locator.Locate(addr.Addr().Unmap())
 }
 
-// Bounds of requests' timeouts.
+// Limits of request timeouts.
 const (
-	defaultTimeout = 30 * time.Second
-	maxTimeout     = 10 * time.Minute
-	marginFraction = 20 // share of a timeout reserved for the final answer
-	maxMargin      = 200 * time.Millisecond
+	defaultTimeout       = 30 * time.Second
+	maxTimeout           = 10 * time.Minute
+	timeoutMarginDivisor = 20 // 1/20 of a timeout is reserved for sending the final response
+	maxTimeoutMargin     = 200 * time.Millisecond
 )
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -15,7 +15,7 @@
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// stripHeaders removes hop-by-hop headers and those that only the system may set, in place.
+// stripHeaders removes hop-by-hop and internal headers, in place.
 func (hd *Handler) stripHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
@@ -28,7 +28,7 @@
 	hd.stripInternal(h)
 }
 
-// stripInternal removes the headers that end at the system, in place.
+// stripInternal removes internal headers, which are not passed on between callers and targets, in place.
 func (hd *Handler) stripInternal(h http.Header) {
 	for name := range h {
 		if hd.deps.Dialect.Internal(name) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// first returns the first value of a header by its canonical name; "" for an empty name.
-func first(h http.Header, name string) string {
+// headerValue returns the first value of a header by its canonical name; "" if there is none.
+func headerValue(h http.Header, name string) string {
 	v := h[name]
 	if len(v) == 0 {
 		return ""
@@ -46,15 +46,15 @@
 	return v[0]
 }
 
-// setOne sets a header by its canonical name.
-func setOne(h http.Header, name, value string) { h[name] = []string{value} }
+// setHeader sets a header by its canonical name.
+func setHeader(h http.Header, name, value string) { h[name] = []string{value} }
 
-// requestIDMax is the longest accepted request id.
-const requestIDMax = 128
+// maxRequestIDBytes is the length of the longest accepted request ID.
+const maxRequestIDBytes = 128
 
-// validRequestID reports whether an id can be logged and echoed as it is.
+// validRequestID reports whether a request ID can be logged and echoed unchanged.
 func validRequestID(id string) bool {
-	if id == "" || len(id) > requestIDMax {
+	if id == "" || len(id) > maxRequestIDBytes {
 		return false
 	}
 	for i := range len(id) {
@@ -65,21 +65,22 @@
 	return true
 }
 
-// maxRetryAfter bounds a parsed Retry-After.
+// maxRetryAfter limits a parsed Retry-After.
 const maxRetryAfter = 24 * time.Hour
 
-// retryAfterDigits is the number of digits of seconds that are parsed; more are the bound.
-const retryAfterDigits = 9
+// maxRetryAfterDigits limits the digits of whole seconds that are parsed; longer values count as
+// maxRetryAfter.
+const maxRetryAfterDigits = 9
 
-// parseRetryAfter reads the Retry-After header: seconds, also with a fraction, or a
-// date (RFC 9110, section 10.2.3). Anything else is 0.
+// parseRetryAfter parses a Retry-After header: seconds, optionally with a fraction, or an HTTP date
+// (RFC 9110, section 10.2.3). Any other value is 0.
 func parseRetryAfter(value string, now time.Time) time.Duration {
 	whole, fraction, _ := strings.Cut(value, ".")
 	if isDigits(whole) && (fraction == "" || isDigits(fraction)) {
-		if len(whole) > retryAfterDigits {
+		if len(whole) > maxRetryAfterDigits {
 			return maxRetryAfter
 		}
-		seconds, _ := strconv.ParseFloat(value, 64) // digits are a number
+		seconds, _ := strconv.ParseFloat(value, 64) // can't fail: only digits
 		return min(time.Duration(seconds*float64(time.Second)), maxRetryAfter)
 	}
 	if at, err := http.ParseTime(value); err == nil && at.After(now) {
@@ -97,7 +98,7 @@
 	return text != ""
 }
 
-// keepAliveTimeout returns the timeout of a Keep-Alive header; 0 if absent.
+// keepAliveTimeout returns the timeout parameter of a Keep-Alive header; 0 if absent.
 func keepAliveTimeout(header string) time.Duration {
 	for field := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/forward/hedge.go
+++ b/internal/forward/hedge.go
@@ -8,102 +8,103 @@
 
 var errHedged = errors.New("another attempt was faster")
 
-// hedge starts a second attempt at another target if the first one's answer is late. The first good
-// head wins; the other attempt is canceled. Only repeatable requests with a kept body are hedged,
-// within the retry budget.
+// hedge starts a second attempt at another target if the response to the first one is late. The first
+// good response head wins, and the other attempt is canceled. Only repeatable requests without a
+// streamed body are hedged, within the retry budget.
 type hedge struct {
-	first  *attempt
-	number int // of the second attempt
-	timer  *time.Timer
-	ended  chan struct{} // closed when the second attempt has its result
+	first    *attempt
+	number   int // attempt number of the second attempt
+	timer    *time.Timer
+	resolved chan struct{} // closed when secondResult is set
 
-	mu     sync.Mutex
-	second *attempt   // nil until it starts
-	end    attemptEnd // of its head
-	over   bool       // the first has won
-	done   bool       // the second has its result
+	mu           sync.Mutex
+	second       *attempt      // nil until it starts
+	secondResult attemptResult // of the second attempt, up to the response head
+	firstWon     bool          // the first attempt has won
+	secondEnded  bool          // the second attempt has ended, or was not started
 }
 
-// armHedge starts the timer of a hedge. It is called on sending, once the headers are final.
+// armHedge starts the timer of a hedge. It is called on sending, when the headers are final.
 func (a *attempt) armHedge() {
 	x := a.x
 	after := x.snap.Document.Retry.HedgeAfterMS.Duration()
-	if after <= 0 || a.hedged || !x.repeatable || x.stream != nil || x.dispatch.attempts >= x.dispatch.rule.maxAttempts {
+	if after <= 0 || a.hedged || !x.repeatable || x.stream != nil || x.dispatch.attempts >= x.dispatch.policy.maxAttempts {
 		return
 	}
-	h := &hedge{first: a, number: x.dispatch.attempts + 1, ended: make(chan struct{})}
+	h := &hedge{first: a, number: x.dispatch.attempts + 1, resolved: make(chan struct{})}
 	a.hedge = h
 	h.timer = time.AfterFunc(after, h.run)
 }
 
-// run makes the second attempt, up to the head of its answer.
+// run makes the second attempt, up to the head of its response.
 func (h *hedge) run() {
-	if !h.begin() {
+	if !h.start() {
 		return
 	}
-	end := h.second.head()
+	result := h.second.roundTrip()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.end, h.done = end, true
-	if h.over {
-		h.second.lose(&h.end)
+	h.secondResult, h.secondEnded = result, true
+	if h.firstWon {
+		h.second.discard(&h.secondResult)
 		return
 	}
-	if end.Fault == FaultNone {
+	if result.Fault == FaultNone {
 		h.first.cancel(errHedged)
 	}
-	close(h.ended)
+	close(h.resolved)
 }
 
-// begin spends the budget and creates the second attempt.
-func (h *hedge) begin() bool {
+// start creates the second attempt if the retry budget allows it.
+func (h *hedge) start() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	x := h.first.x
-	if h.over || !x.spend(h.first.target.Name) {
-		h.done = true
-		close(h.ended)
+	if h.firstWon || !x.withdrawRetry(h.first.target.Name) {
+		h.secondEnded = true
+		close(h.resolved)
 		return false
 	}
 	x.h.series.hedges.Inc()
-	h.second = x.newAttempt(h.first.parent, h.number, []string{h.first.target.Name})
+	h.second = x.newAttempt(h.first.requestCtx, h.number, []string{h.first.target.Name})
 	h.second.hedged = true
-	h.second.fresh = h.first.fresh
+	h.second.newConnOnly = h.first.newConnOnly
 	return true
 }
 
-// join is called at the end of the first head. It returns the second attempt if that one replaces
-// the first, else nil.
-func (h *hedge) join(firstFault Fault) (*attempt, attemptEnd) {
-	if h.timer.Stop() || firstFault == FaultNone && h.drop() {
-		return nil, attemptEnd{}
+// resolve is called when the first attempt has its response head or has failed. It returns the second
+// attempt if that one replaces the first, else nil.
+func (h *hedge) resolve(firstFault Fault) (*attempt, attemptResult) {
+	if h.timer.Stop() || firstFault == FaultNone && h.cancelSecond() {
+		return nil, attemptResult{}
 	}
-	<-h.ended
-	return h.second, h.end
+	<-h.resolved
+	return h.second, h.secondResult
 }
 
-// drop ends the second attempt, as the first has won; false if the second has won before.
-func (h *hedge) drop() bool {
+// cancelSecond cancels the second attempt because the first has won; false if the second had already
+// won.
+func (h *hedge) cancelSecond() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case h.second == nil:
-	case !h.done:
+	case !h.secondEnded:
 		h.second.cancel(errHedged)
-	case h.end.Fault == FaultNone:
+	case h.secondResult.Fault == FaultNone:
 		return false
 	default:
-		h.second.lose(&h.end)
+		h.second.discard(&h.secondResult)
 	}
-	h.over = true
+	h.firstWon = true
 	return true
 }
 
-// lose releases an attempt whose answer is not needed.
-func (a *attempt) lose(end *attemptEnd) {
-	if end.Fault == FaultNone {
-		end.Fault, end.Sent = FaultCallerGone, true
+// discard releases an attempt whose response is not needed.
+func (a *attempt) discard(result *attemptResult) {
+	if result.Fault == FaultNone {
+		result.Fault, result.Sent = FaultCallerGone, true
 	}
-	a.finish(end)
+	a.finish(result)
 	a.cancel(nil)
 }
--- a/internal/forward/hedge_test.go
+++ b/internal/forward/hedge_test.go
@@ -14,9 +14,9 @@
 	"masticturn/internal/telemetry"
 )
 
-// hedging returns a document that hedges after a while.
-func hedging(after config.Millis, targets ...string) *config.Document {
-	doc := document(targets...)
+// hedgingDocument returns a document with the given hedging delay.
+func hedgingDocument(after config.Millis, targets ...string) *config.Document {
+	doc := testDocument(targets...)
 	doc.Retry.HedgeAfterMS = after
 	return doc
 }
@@ -31,9 +31,9 @@
 		{"POST", http.StatusGatewayTimeout, 0},
 	}
 	for _, tt := range tests {
-		slow, fast := silent(t), newScripted(t)
-		fast.set(whole(okAnswer))
-		b := newBench(t, hedging(20, slow.address, fast.address), nil, telemetry.Discard())
+		slow, fast := newSilentTarget(t), newScripted(t)
+		fast.set(fullAnswer(okAnswer))
+		b := newTestProxy(t, hedgingDocument(20, slow.address, fast.address), nil, telemetry.Discard())
 		resp, _, err := b.call(t, tt.method, "/svc/a", nil, edge.HeaderTimeoutMS, "400")
 		if err != nil {
 			t.Fatal(err)
@@ -52,7 +52,7 @@
 		time.Sleep(5 * time.Millisecond)
 		_, _ = io.WriteString(w, "slow")
 	})
-	b := newBench(t, hedging(1, slow, slow, slow), nil, telemetry.Discard())
+	b := newTestProxy(t, hedgingDocument(1, slow, slow, slow), nil, telemetry.Discard())
 	const requests = 300
 	for range requests {
 		if resp, _, err := b.call(t, "GET", "/svc/a", nil); err != nil || resp.StatusCode != http.StatusOK {
@@ -60,16 +60,16 @@
 		}
 	}
 	_ = b.heldPermits()
-	most := requests + requests/10 + config.DefaultBudgetBurst
-	if b.admission.attempts > most || b.admission.attempts == requests {
-		t.Errorf("%d attempts for %d requests, want hedges, and at most %d attempts", b.admission.attempts, requests, most)
+	maxAttempts := requests + requests/10 + config.DefaultBudgetBurst
+	if b.admission.attempts > maxAttempts || b.admission.attempts == requests {
+		t.Errorf("%d attempts for %d requests, want hedges, and at most %d attempts", b.admission.attempts, requests, maxAttempts)
 	}
 }
 
-// First and second attempt end at about the same time, in all orders: the
-// answer is one of them, whole, and nothing is kept.
+// The first and the second attempt end at about the same time, in any order: the
+// caller gets one complete response, and all permits are released.
 func TestHedgesThatEndTogether(t *testing.T) {
-	answer := strings.Repeat("a", 3*bufferBytes)
+	answer := strings.Repeat("a", 3*relayBufferBytes)
 	address := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(rand.N(3 * time.Millisecond))
 		if rand.IntN(5) == 0 {
@@ -77,10 +77,10 @@
 		}
 		_, _ = io.WriteString(w, answer)
 	})
-	doc := hedging(1, address, address, address)
+	doc := hedgingDocument(1, address, address, address)
 	doc.Retry.BudgetFraction = 10
 	doc.Retry.MaxAttempts = 3
-	b := newBench(t, doc, nil, telemetry.Discard())
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
@@ -90,7 +90,7 @@
 				case err != nil:
 					t.Error(err)
 				case resp.StatusCode == http.StatusOK && body != answer:
-					t.Errorf("got %d bytes as the whole", len(body))
+					t.Errorf("got %d bytes as a complete response", len(body))
 				}
 			}
 		})
@@ -100,6 +100,6 @@
 		if i == 1000 {
 			t.Fatalf("%d permits are still held", b.heldPermits())
 		}
-		time.Sleep(time.Millisecond) // a lost attempt gives back by itself
+		time.Sleep(time.Millisecond) // the losing attempt releases its permit asynchronously
 	}
 }
--- a/internal/forward/keys_test.go
+++ b/internal/forward/keys_test.go
@@ -18,7 +18,8 @@
 	"masticturn/internal/telemetry"
 )
 
-// newKeys returns keys over a fake platform, and a ticket of theirs.
+// newKeys returns a key registry with a fake store, the store, and the prefix of keys
+// with a ticket.
 func newKeys(t *testing.T, doc *config.Document) (*idempotency.Keys, *platformtest.Store, string) {
 	t.Helper()
 	snap, err := config.NewSnapshot(1, doc)
@@ -44,9 +45,9 @@
 		w.WriteHeader(http.StatusCreated)
 		_, _ = io.Copy(w, r.Body)
 	})
-	doc := document(address)
+	doc := testDocument(address)
 	keys, store, ticket := newKeys(t, doc)
-	b := newBench(t, doc, keys, telemetry.Discard())
+	b := newTestProxy(t, doc, keys, telemetry.Discard())
 	for _, key := range []string{ticket + "k1", "k2"} {
 		runs.Store(0)
 		for i := range 3 {
@@ -74,22 +75,23 @@
 	}
 }
 
-// A caller that loses its connection finds the answer under its key.
-func TestKeyedRunGoesOnWithoutItsCaller(t *testing.T) {
+// A caller that loses its connection gets the recorded response when it repeats the
+// request with the same key.
+func TestKeyedRunContinuesWithoutCaller(t *testing.T) {
 	var runs atomic.Int32
 	release := make(chan struct{})
-	answer := strings.Repeat("x", bufferBytes+1) // longer than what is read whole before it is relayed
+	answer := strings.Repeat("x", relayBufferBytes+1) // too long to be read completely before it is relayed
 	address := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		runs.Add(1)
 		<-release
 		_, _ = io.WriteString(w, answer)
 	})
-	doc := document(address)
+	doc := testDocument(address)
 	keys, _, ticket := newKeys(t, doc)
-	b := newBench(t, doc, keys, telemetry.Discard())
+	b := newTestProxy(t, doc, keys, telemetry.Discard())
 	b.client.Timeout = 50 * time.Millisecond
 	if _, _, err := b.call(t, "POST", "/svc/keyed", nil, edge.HeaderIdempotencyKey, ticket+"k"); err == nil {
-		t.Fatal("the caller did not give up")
+		t.Fatal("the caller did not time out")
 	}
 	close(release)
 	b.client.Timeout = 0
@@ -102,19 +104,19 @@
 	}
 }
 
-// A run that failed after a byte may have reached the target is not repeated
-// under its key; one that surely was not run is.
+// A run that failed after a byte may have reached the target is not repeated with the
+// same key. A run that certainly did not happen is repeated.
 func TestKeyAfterAFailedRun(t *testing.T) {
 	target := newScripted(t)
-	doc := oneAttempt(target.address)
+	doc := singleAttemptDocument(target.address)
 	keys, _, ticket := newKeys(t, doc)
-	b := newBench(t, doc, keys, telemetry.Discard())
+	b := newTestProxy(t, doc, keys, telemetry.Discard())
 	const shed = "HTTP/1.1 503 Service Unavailable\r\nMasticturn-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	tests := []struct {
 		name, key, first, second string
 		script                   script
 	}{
-		{"shed", "k1", "not-run", "answered", whole(shed)},
+		{"shed", "k1", "not-run", "answered", fullAnswer(shed)},
 		{"cut", "k2", "unknown", "unknown", script{readBytes: -1, writeBytes: 0}},
 	}
 	for _, tt := range tests {
@@ -126,7 +128,7 @@
 				t.Fatal(err)
 			}
 			got = append(got, resp.Header.Get(edge.HeaderOutcome))
-			target.set(whole(okAnswer))
+			target.set(fullAnswer(okAnswer))
 		}
 		if got[0] != tt.first || got[1] != tt.second {
 			t.Errorf("%s: got %v, want %s and %s", tt.name, got, tt.first, tt.second)
--- a/internal/forward/listener.go
+++ b/internal/forward/listener.go
@@ -8,18 +8,18 @@
 	"masticturn/internal/config"
 )
 
-// limitedListener bounds the connections from one address. One above the
-// limit is closed at once.
+// limitedListener limits the number of connections from one address. Connections above the limit are
+// closed at once.
 type limitedListener struct {
 	net.Listener
 	config config.Source
 
-	mu    sync.Mutex
-	count map[netip.Addr]int
+	mu     sync.Mutex
+	counts map[netip.Addr]int
 }
 
 func newLimitedListener(l net.Listener, c config.Source) *limitedListener {
-	return &limitedListener{Listener: l, config: c, count: make(map[netip.Addr]int)}
+	return &limitedListener{Listener: l, config: c, counts: make(map[netip.Addr]int)}
 }
 
 // Accept implements net.Listener.
@@ -30,32 +30,32 @@
 			return nil, err
 		}
 		addr, err := netip.ParseAddrPort(conn.RemoteAddr().String())
-		if err == nil && l.take(addr.Addr()) {
-			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { l.give(addr.Addr()) })}, nil
+		if err == nil && l.acquire(addr.Addr()) {
+			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { l.release(addr.Addr()) })}, nil
 		}
 		_ = conn.Close()
 	}
 }
 
-func (l *limitedListener) take(addr netip.Addr) bool {
+func (l *limitedListener) acquire(addr netip.Addr) bool {
 	limit := 0
 	if s := l.config.Current(); s != nil {
 		limit = s.Document.Limits.MaxConnectionsPerAddr
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if limit > 0 && l.count[addr] >= limit {
+	if limit > 0 && l.counts[addr] >= limit {
 		return false
 	}
-	l.count[addr]++
+	l.counts[addr]++
 	return true
 }
 
-func (l *limitedListener) give(addr netip.Addr) {
+func (l *limitedListener) release(addr netip.Addr) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.count[addr]--; l.count[addr] == 0 {
-		delete(l.count, addr)
+	if l.counts[addr]--; l.counts[addr] == 0 {
+		delete(l.counts, addr)
 	}
 }
 
--- a/internal/forward/load_test.go
+++ b/internal/forward/load_test.go
@@ -19,10 +19,12 @@
 	"masticturn/internal/telemetry"
 )
 
-// observer keeps what it hears.
-type observer struct{ heard []measure.Observation }
+// recordingObserver records observations.
+type recordingObserver struct{ observations []measure.Observation }
 
-func (o *observer) Observe(ob measure.Observation) { o.heard = append(o.heard, ob) }
+func (o *recordingObserver) Observe(ob measure.Observation) {
+	o.observations = append(o.observations, ob)
+}
 
 func TestTargetsOwnWordIsPassedOn(t *testing.T) {
 	tests := []struct {
@@ -52,15 +54,15 @@
 			}
 			w.WriteHeader(tt.status)
 		})
-		b := newBench(t, oneAttempt(address), nil, telemetry.Discard())
-		o := &observer{}
+		b := newTestProxy(t, singleAttemptDocument(address), nil, telemetry.Discard())
+		o := &recordingObserver{}
 		b.handler.deps.Measure = o
 		if _, _, err := b.call(t, "GET", "/svc/a", nil); err != nil {
 			t.Fatal(err)
 		}
 		_ = b.heldPermits()
-		if len(o.heard) != len(tt.want) || len(tt.want) == 1 && o.heard[0] != tt.want[0] {
-			t.Errorf("%s: heard %+v, want %+v", tt.name, o.heard, tt.want)
+		if len(o.observations) != len(tt.want) || len(tt.want) == 1 && o.observations[0] != tt.want[0] {
+			t.Errorf("%s: observed %+v, want %+v", tt.name, o.observations, tt.want)
 		}
 		got := b.admission.released[0]
 		if got.Draining != (tt.header[edge.HeaderTargetDraining] == "1") || got.ShedByPeer != (tt.status != http.StatusOK) {
@@ -69,11 +71,11 @@
 	}
 }
 
-// The shares of all VMs never add up to more than a target's limit.
+// The shares of all VMs together never exceed a target's connection limit.
 func TestConnectionSharesAddUp(t *testing.T) {
 	for _, vms := range []int{1, 3, 10, 12, 361, 1400} {
 		for _, connections := range []int{0, 1, 35, 360} {
-			doc := document("127.0.0.1:1")
+			doc := testDocument("127.0.0.1:1")
 			doc.Fleet.MaxVMs = vms
 			doc.Services[0].Targets[0].Connections = connections
 			snap, err := config.NewSnapshot(1, doc)
@@ -88,8 +90,8 @@
 	}
 }
 
-// In a fleet larger than a target's connections a VM holds one during an
-// exchange only.
+// In a fleet with more VMs than connections of a target, a VM keeps no connection
+// after an exchange.
 func TestLargeFleetKeepsNoConnections(t *testing.T) {
 	const requests = 20
 	var mu sync.Mutex
@@ -99,9 +101,9 @@
 		defer mu.Unlock()
 		connections[r.RemoteAddr] = true
 	})
-	doc := document(address)
+	doc := testDocument(address)
 	doc.Fleet.MaxVMs = 1400
-	b := newBench(t, doc, nil, telemetry.Discard())
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
 	for range requests {
 		if resp, _, err := b.call(t, "GET", "/svc/a", nil); err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatal(resp, err)
@@ -114,13 +116,13 @@
 	}
 }
 
-// A slot that was lost before the first byte is not used: another one is
-// acquired, and the target sees the request once.
+// A slot that is lost before the first byte is sent is not used: another one is
+// acquired, and the target gets the request once.
 func TestLostPermitIsNotUsed(t *testing.T) {
 	var seen atomic.Int32
 	address := newTarget(t, func(http.ResponseWriter, *http.Request) { seen.Add(1) })
-	b := newBench(t, document(address), nil, telemetry.Discard())
-	b.admission.void = 2
+	b := newTestProxy(t, testDocument(address), nil, telemetry.Discard())
+	b.admission.invalidPermits = 2
 	resp, _, err := b.call(t, "POST", "/svc/a", nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
@@ -138,21 +140,22 @@
 	}
 }
 
-// A target without a connection left for this VM costs nothing but another try.
+// If this VM may open no further connection to a target, the request has not been
+// run there.
 func TestNoConnectionLeftIsNotRun(t *testing.T) {
-	doc := document("127.0.0.1:1")
+	doc := testDocument("127.0.0.1:1")
 	doc.Services[0].Targets[0].Connections = 0
-	b := newBench(t, doc, nil, telemetry.Discard())
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
 	resp, _, err := b.call(t, "POST", "/svc/a", nil)
 	if err != nil || resp.Header.Get(edge.HeaderOutcome) != "not-run" || resp.Header.Get(edge.HeaderStep) != "connect" {
 		t.Errorf("got %v, %v", resp, err)
 	}
 }
 
-// A target that refuses though it has slots free is no reason to wait for a run
-// to end; one that is full or tells nothing is.
-func TestRefusalWithFreeSlotsBringsCallersBackAtOnce(t *testing.T) {
-	tests := map[string]time.Duration{"1/4": freeRetryAfter, "4/4": notRunRetryAfter, "": notRunRetryAfter}
+// If a target refuses although it has free slots, the caller need not wait for a run
+// to end. If it is full or reports no load, the caller waits longer.
+func TestRetryAfterOfRefusalWithFreeSlots(t *testing.T) {
+	tests := map[string]time.Duration{"1/4": freeSlotsRetryAfter, "4/4": notRunRetryAfter, "": notRunRetryAfter}
 	for load, want := range tests {
 		address := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(edge.HeaderTargetNotRun, "1")
@@ -161,7 +164,7 @@
 			}
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
-		b := newBench(t, oneAttempt(address), nil, telemetry.Discard())
+		b := newTestProxy(t, singleAttemptDocument(address), nil, telemetry.Discard())
 		_, body, err := b.call(t, "GET", "/svc/a", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -171,25 +174,25 @@
 			t.Fatalf("%q: %v", body, err)
 		}
 		if answer.RetryAfterMS != want.Milliseconds() {
-			t.Errorf("refused with load %q: come back after %d ms, want %v", load, answer.RetryAfterMS, want)
+			t.Errorf("refused with load %q: retry after %d ms, want %v", load, answer.RetryAfterMS, want)
 		}
 	}
 }
 
-// noticeAdmission hands out permits that record notices.
-type noticeAdmission struct {
-	*roundRobin
+// noticeAdmitter grants permits that record notices.
+type noticeAdmitter struct {
+	*roundRobinAdmitter
 	mu  sync.Mutex
 	got []admission.Notice
 }
 
 type noticePermit struct {
 	admission.Permit
-	a *noticeAdmission
+	a *noticeAdmitter
 }
 
-func (a *noticeAdmission) Acquire(ctx context.Context, r *admission.Request) (admission.Permit, error) {
-	p, err := a.roundRobin.Acquire(ctx, r)
+func (a *noticeAdmitter) Acquire(ctx context.Context, r *admission.Request) (admission.Permit, error) {
+	p, err := a.roundRobinAdmitter.Acquire(ctx, r)
 	if err != nil {
 		return nil, err
 	}
@@ -202,14 +205,15 @@
 	p.a.got = append(p.a.got, n)
 }
 
-func (a *noticeAdmission) notices() []admission.Notice {
+func (a *noticeAdmitter) notices() []admission.Notice {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.got)
 }
 
-// A notice counts from the head of the answer on, and only from the expected instance.
-func TestNoticesCountFromTheHeadOfAnAnswer(t *testing.T) {
+// A notice is reported as soon as the response head arrives, and only if it is from
+// the expected instance.
+func TestNoticesAreReportedAtResponseHead(t *testing.T) {
 	finish := make(chan struct{})
 	target := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(edge.HeaderTargetDraining, "1")
@@ -222,12 +226,12 @@
 		_ = http.NewResponseController(w).Flush()
 		<-finish
 	})
-	a := &noticeAdmission{roundRobin: &roundRobin{}}
-	b := newBench(t, oneAttempt(target), nil, telemetry.Discard())
+	a := &noticeAdmitter{roundRobinAdmitter: &roundRobinAdmitter{}}
+	b := newTestProxy(t, singleAttemptDocument(target), nil, telemetry.Discard())
 	b.handler.deps.Admission = a
-	b.admission = a.roundRobin
+	b.admission = a.roundRobinAdmitter
 	if _, _, err := b.call(t, "GET", "/svc/other", nil); err != nil || len(a.notices()) != 0 {
-		t.Errorf("another instance's notice is taken: %v, %v", a.notices(), err)
+		t.Errorf("another instance's notice was reported: %v, %v", a.notices(), err)
 	}
 	done := make(chan struct{})
 	go func() {
@@ -241,7 +245,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if got := a.notices(); len(got) != 1 || !got[0].Leaving {
-		t.Errorf("got %+v while the answer is streamed, want the notice", got)
+		t.Errorf("got %+v while the response is streamed, want the notice", got)
 	}
 	close(finish)
 	<-done
--- a/internal/forward/outgoing.go
+++ b/internal/forward/outgoing.go
@@ -15,27 +15,28 @@
 	return t.Connections / max(s.Document.Fleet.MaxVMs, 1)
 }
 
-// connectionRule limits this VM's connections to one target.
-type connectionRule struct {
+// connectionPolicy is how this VM may use connections to one target.
+type connectionPolicy struct {
 	limit int
-	keep  bool // a connection may be kept after its exchange
+	keep  bool // connections may be reused
 }
 
-// connectionRuleOf splits a target's connection limit among the VMs. In fleets with more VMs than
-// connections each one lasts for one exchange, and permits bound their number by the slots.
-func connectionRuleOf(s *config.Snapshot, t *config.TargetIndex) connectionRule {
+// connectionPolicyOf splits a target's connection limit among the VMs. In fleets with more VMs than
+// connections, each connection is used for one exchange only, and permits limit their number to that of
+// the slots.
+func connectionPolicyOf(s *config.Snapshot, t *config.TargetIndex) connectionPolicy {
 	if share := connectionShare(s, t); share > 0 {
-		return connectionRule{limit: share, keep: true}
+		return connectionPolicy{limit: share, keep: true}
 	}
 	if t.Connections < t.Slots {
-		return connectionRule{}
+		return connectionPolicy{}
 	}
-	return connectionRule{limit: t.Slots}
+	return connectionPolicy{limit: t.Slots}
 }
 
-// outgoing builds the request to the target. The first attempt uses the caller's header map, further
-// ones a copy, as an earlier connection may still read it.
-func (a *attempt) outgoing() *http.Request {
+// newRequest builds the request to the target. The first attempt uses the caller's header map, further
+// ones a copy, as an earlier connection may still read the original.
+func (a *attempt) newRequest() *http.Request {
 	x := a.x
 	header := x.r.Header
 	if a.number > 1 {
@@ -44,21 +45,21 @@
 	left := x.deadline.Sub(x.h.deps.Clock.Now()).Milliseconds()
 	d := x.h.deps.Dialect
 	if x.id != "" {
-		setOne(header, d.TargetRequestID, x.id)
+		setHeader(header, d.TargetRequestID, x.id)
 	}
-	setOne(header, d.TargetDeadlineMS, strconv.FormatInt(max(left, 1), 10))
+	setHeader(header, d.TargetDeadlineMS, strconv.FormatInt(max(left, 1), 10))
 	if a.target.Instance != "" {
-		setOne(header, d.TargetExpect, a.target.Instance)
+		setHeader(header, d.TargetExpect, a.target.Instance)
 	}
 	if x.customer != nil {
-		setOne(header, d.TargetCustomer, x.customer.Name)
+		setHeader(header, d.TargetCustomer, x.customer.Name)
 	}
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = nil // none is added by the library
+		header["User-Agent"] = nil // net/http would add its own
 	}
 	req := &http.Request{
 		Method:     x.r.Method,
-		URL:        a.url(),
+		URL:        a.targetURL(),
 		Host:       x.r.Host,
 		Header:     header,
 		Proto:      "HTTP/1.1",
@@ -69,7 +70,7 @@
 	switch {
 	case x.stream != nil:
 		a.stream = x.stream
-		a.stream.watch = a.watch
+		a.stream.watchdog = a.watchdog
 		req.Body = a.stream
 		req.ContentLength = x.r.ContentLength
 		if len(x.r.Trailer) > 0 {
@@ -83,7 +84,7 @@
 	return req.WithContext(a.ctx)
 }
 
-func (a *attempt) url() *url.URL {
+func (a *attempt) targetURL() *url.URL {
 	from := a.x.r.URL
 	return &url.URL{
 		Scheme:     "http",
--- a/internal/forward/path_test.go
+++ b/internal/forward/path_test.go
@@ -13,7 +13,7 @@
 	"masticturn/internal/telemetry"
 )
 
-func TestRequestGoesToTargetAndBack(t *testing.T) {
+func TestRequestIsForwarded(t *testing.T) {
 	address := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
 		if r.Header.Get(edge.HeaderTargetDeadlineMS) == "" {
@@ -24,7 +24,7 @@
 		w.WriteHeader(http.StatusCreated)
 		_, _ = w.Write(raw)
 	})
-	b := newBench(t, document(address), nil, telemetry.Discard())
+	b := newTestProxy(t, testDocument(address), nil, telemetry.Discard())
 	resp, body, err := b.call(t, "POST", "/svc/a%2Fb?x=1", strings.NewReader("hello"), edge.HeaderRequestID, "id-1")
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 }
 
 func TestRefusalsSayNotRun(t *testing.T) {
-	b := newBench(t, document("127.0.0.1:1"), nil, telemetry.Discard())
+	b := newTestProxy(t, testDocument("127.0.0.1:1"), nil, telemetry.Discard())
 	tests := []struct {
 		name, method, path, body, step string
 		status                         int
@@ -76,19 +76,19 @@
 	}
 }
 
-// The pause allowed between the bytes of a body must not end the wait for the
-// answer.
+// The idle timeout between parts of the body must not limit the wait for the
+// response.
 func TestSlowAnswerAfterBodyIsWaitedFor(t *testing.T) {
 	address := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		time.Sleep(150 * time.Millisecond)
 		_, _ = io.WriteString(w, "done")
 	})
-	doc := document(address)
+	doc := testDocument(address)
 	doc.Limits.IdleTimeoutMS = 50
-	b := newBench(t, doc, nil, telemetry.Discard())
-	for _, size := range []int{10, 200 << 10} { // kept and streamed
-		for range 2 { // the caller's connection stays good
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
+	for _, size := range []int{10, 200 << 10} { // buffered and streamed
+		for range 2 { // the caller's connection stays usable
 			resp, body, err := b.call(t, "POST", "/svc/a", strings.NewReader(strings.Repeat("x", size)))
 			if err != nil || body != "done" {
 				t.Errorf("%d bytes: got %v %q %v", size, resp, body, err)
@@ -97,9 +97,9 @@
 	}
 }
 
-// Answers of all shapes arrive as they were sent.
-func TestAnswersOfAllShapes(t *testing.T) {
-	large := strings.Repeat("y", 3*bufferBytes+1)
+// Responses of all kinds arrive as they were sent.
+func TestResponsesAreRelayedUnchanged(t *testing.T) {
+	large := strings.Repeat("y", 3*relayBufferBytes+1)
 	address := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/svc/empty":
@@ -123,7 +123,7 @@
 			http.Error(w, "no such ship", http.StatusNotFound)
 		}
 	})
-	b := newBench(t, document(address), nil, telemetry.Discard())
+	b := newTestProxy(t, testDocument(address), nil, telemetry.Discard())
 	tests := []struct {
 		method, path string
 		status       int
@@ -140,14 +140,14 @@
 		{"GET", "error", http.StatusNotFound, "no such ship\n", "13", ""},
 	}
 	for _, tt := range tests {
-		for range 2 { // on a new and on a used connection
+		for range 2 { // on a new and on a reused connection
 			resp, body, err := b.call(t, tt.method, "/svc/"+tt.path, nil)
 			if err != nil {
 				t.Fatal(tt.path, err)
 			}
 			length := resp.Header.Get("Content-Length")
 			if tt.path == "chunked" && length == strconv.Itoa(len(tt.body)) {
-				length = "" // all pieces came at once, so that the server knew the length
+				length = "" // all chunks arrived at once, so the server knew the length
 			}
 			if resp.StatusCode != tt.status || body != tt.body || length != tt.length {
 				t.Errorf("%s %s: got %d, %d bytes, %v", tt.method, tt.path, resp.StatusCode, len(body), resp.Header)
