--- a/internal/forward/rawtarget_test.go
+++ b/internal/forward/rawtarget_test.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// script says what a scripted target does with one request.
+// script is what a scripted target does with each request.
 type script struct {
-	readBytes  int // close after so many bytes of the request; -1: read it whole
-	writeBytes int // close after so many bytes of the answer; -1: write it whole
+	readBytes  int // close after this many bytes of the request; -1: read all
+	writeBytes int // close after this many bytes of the answer; -1: write all
 	reset      bool
 	answer     string
-	hold       <-chan struct{} // before the answer is written
+	release    <-chan struct{} // if not nil, wait for it before writing the answer
 }
 
-// whole answers properly.
-func whole(answer string) script { return script{readBytes: -1, writeBytes: -1, answer: answer} }
+// fullAnswer reads the whole request and writes the whole answer.
+func fullAnswer(answer string) script { return script{readBytes: -1, writeBytes: -1, answer: answer} }
 
-// scriptedTarget serves raw connections; each request follows the script in
-// force when it arrives.
+// scriptedTarget handles each request by the script that is set when the request
+// arrives.
 type scriptedTarget struct {
 	address string
 
 	mu       sync.Mutex
 	script   script
-	begun    int // requests of which a byte arrived, or that met a closing target
-	executed int // requests read whole
-	length   int // bytes of the last request that was read whole
+	started  int // requests of which the first byte arrived
+	executed int // requests read completely
+	length   int // length of the last complete request, in bytes
 }
 
 func newScripted(t testing.TB) *scriptedTarget {
@@ -54,20 +54,20 @@
 	return s
 }
 
-// set changes the script and forgets the counts.
+// set changes the script and resets the counts.
 func (s *scriptedTarget) set(sc script) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.script, s.begun, s.executed = sc, 0, 0
+	s.script, s.started, s.executed = sc, 0, 0
 }
 
 func (s *scriptedTarget) counts() (begun, executed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.begun, s.executed
+	return s.started, s.executed
 }
 
-// lastLength waits for the last request to be over and returns its length.
+// lastLength waits for a complete request and returns the length of the last one.
 func (s *scriptedTarget) lastLength() int {
 	for {
 		s.mu.Lock()
@@ -91,7 +91,7 @@
 		}
 		s.mu.Lock()
 		sc := s.script
-		s.begun++
+		s.started++
 		s.mu.Unlock()
 		if !s.request(conn, br, sc) {
 			return
@@ -102,7 +102,7 @@
 	}
 }
 
-// request handles one request; false when the connection is to be closed.
+// request handles one request. It returns false if the connection is to be closed.
 func (s *scriptedTarget) request(conn net.Conn, br *bufio.Reader, sc script) bool {
 	if sc.reset {
 		_ = conn.(*net.TCPConn).SetLinger(0)
@@ -121,8 +121,8 @@
 	s.mu.Lock()
 	s.executed++
 	s.mu.Unlock()
-	if sc.hold != nil {
-		<-sc.hold
+	if sc.release != nil {
+		<-sc.release
 	}
 	if sc.writeBytes >= 0 {
 		_, _ = io.WriteString(conn, sc.answer[:sc.writeBytes])
--- a/internal/forward/regions.go
+++ b/internal/forward/regions.go
@@ -11,54 +11,54 @@
 	"masticturn/internal/telemetry"
 )
 
-// regionSpan is the span of a log line. Spans of all VMs begin at the same times, so that their
-// lines can be added up.
-const regionSpan = 2 * time.Second
+// regionLogInterval is the interval of a log line. Intervals start at multiples of it on all VMs, so that
+// the lines of several VMs can be added up.
+const regionLogInterval = 2 * time.Second
 
 // regionCounts counts requests by the region of their target.
 type regionCounts struct {
-	step    string // at which they are counted
-	span    map[string]int
-	metrics map[string]*metrics.Counter
+	step     string // step label of the metric
+	interval map[string]int
+	totals   map[string]*metrics.Counter
 }
 
 func newRegionCounts(step string) *regionCounts {
-	return &regionCounts{step: step, span: make(map[string]int), metrics: make(map[string]*metrics.Counter)}
+	return &regionCounts{step: step, interval: make(map[string]int), totals: make(map[string]*metrics.Counter)}
 }
 
 func (c *regionCounts) inc(region string, set *metrics.Set) {
-	total := c.metrics[region]
+	total := c.totals[region]
 	if total == nil {
 		total = set.GetOrCreateCounter(fmt.Sprintf("masticturn_requests_by_region_total{step=%q,region=%q}", c.step, region))
-		c.metrics[region] = total
+		c.totals[region] = total
 	}
 	total.Inc()
-	c.span[region]++
+	c.interval[region]++
 }
 
-// reset returns the counts of the span and begins another.
+// reset returns the counts of the current interval and starts the next one.
 func (c *regionCounts) reset() map[string]int {
-	counts := c.span
-	c.span = make(map[string]int)
+	counts := c.interval
+	c.interval = make(map[string]int)
 	return counts
 }
 
-// regionTally counts placed and sent requests by the target's region, for metrics and a log line
-// per span. Remote requests are sent later, by the time to connect, so that only the placed ones
-// show a change of placement.
-type regionTally struct {
+// regionCounter counts placed and sent requests by the target's region, for metrics and one log line
+// per interval. Requests to other regions are sent later, by the time to connect, so only the placed
+// counts show a change of placement.
+type regionCounter struct {
 	logger *telemetry.Logger
 	set    *metrics.Set
 	clock  kernel.Clock
 
-	mu     sync.Mutex
-	placed *regionCounts
-	sent   *regionCounts
-	due    bool // a line is due at the end of the span
+	mu           sync.Mutex
+	placed       *regionCounts
+	sent         *regionCounts
+	logScheduled bool // a log line is scheduled for the end of the interval
 }
 
-func newRegionTally(logger *telemetry.Logger, set *metrics.Set, clock kernel.Clock) *regionTally {
-	return &regionTally{
+func newRegionCounter(logger *telemetry.Logger, set *metrics.Set, clock kernel.Clock) *regionCounter {
+	return &regionCounter{
 		logger: logger,
 		set:    set,
 		clock:  clock,
@@ -68,30 +68,30 @@
 }
 
 // recordPlaced counts a request whose target was picked.
-func (t *regionTally) recordPlaced(region string) { t.note(t.placed, region) }
+func (c *regionCounter) recordPlaced(region string) { c.record(c.placed, region) }
 
 // recordSent counts a request written to its target's connection.
-func (t *regionTally) recordSent(region string) { t.note(t.sent, region) }
+func (c *regionCounter) recordSent(region string) { c.record(c.sent, region) }
 
-func (t *regionTally) note(counts *regionCounts, region string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	counts.inc(region, t.set)
-	if t.due {
+func (c *regionCounter) record(counts *regionCounts, region string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	counts.inc(region, c.set)
+	if c.logScheduled {
 		return
 	}
-	t.due = true
-	now := t.clock.Now()
-	time.AfterFunc(now.Truncate(regionSpan).Add(regionSpan).Sub(now), t.log)
+	c.logScheduled = true
+	now := c.clock.Now()
+	time.AfterFunc(now.Truncate(regionLogInterval).Add(regionLogInterval).Sub(now), c.log)
 }
 
-// log writes the line of an elapsed span. Without requests there is none.
-func (t *regionTally) log() {
-	t.mu.Lock()
-	placed, sent := t.placed.reset(), t.sent.reset()
-	t.due = false
-	t.mu.Unlock()
-	t.logger.Log(eventRegions,
+// log writes the line of an elapsed interval. Intervals without requests have none.
+func (c *regionCounter) log() {
+	c.mu.Lock()
+	placed, sent := c.placed.reset(), c.sent.reset()
+	c.logScheduled = false
+	c.mu.Unlock()
+	c.logger.Log(eventRequestsByRegion,
 		telemetry.Value("placed", placed),
 		telemetry.Value("sent", sent))
 }
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -11,22 +11,22 @@
 	"masticturn/internal/kernel"
 )
 
-// Callers of a region stop while requests to another one still wait for their
-// connections. The lines tell that the same targets were chosen and that only
-// what is sent has changed.
-func TestRegionLinesTellChoiceFromDelay(t *testing.T) {
+// If requests to another region wait for their connections while callers stop, they
+// are sent in a later interval than they were placed. The lines must show that the
+// choice of targets has not changed, only the time of sending.
+func TestRegionLinesSeparatePlacedFromSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out syncBuffer
 		set := metrics.NewSet()
-		tally := newRegionTally(newTestLogger(&out), set, kernel.SystemClock{})
-		time.Sleep(regionSpan - 100*time.Millisecond)
+		counter := newRegionCounter(newTestLogger(&out), set, kernel.SystemClock{})
+		time.Sleep(regionLogInterval - 100*time.Millisecond)
 
-		tally.recordPlaced("near")
-		tally.recordSent("near")
-		tally.recordPlaced("far")
-		time.Sleep(150 * time.Millisecond) // the connection opens after the span has ended
-		tally.recordSent("far")
-		time.Sleep(2 * regionSpan)
+		counter.recordPlaced("near")
+		counter.recordSent("near")
+		counter.recordPlaced("far")
+		time.Sleep(150 * time.Millisecond) // the connection is opened after the end of the interval
+		counter.recordSent("far")
+		time.Sleep(2 * regionLogInterval)
 
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 		want := []string{
@@ -34,7 +34,7 @@
 			`"event":5007,"placed":{},"sent":{"far":1}`,
 		}
 		if len(lines) != len(want) {
-			t.Fatalf("lines %q, want one a span with requests", lines)
+			t.Fatalf("lines %q, want one per interval with requests", lines)
 		}
 		for i, line := range lines {
 			if !strings.Contains(line, want[i]) {
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -13,12 +13,12 @@
 	"masticturn/internal/outcome"
 )
 
-// relay sends the answer to the caller. A short one is read completely first: the slot is released,
-// and a partial answer is never sent.
-func (a *attempt) relay() attemptEnd {
-	buf := a.x.h.buffers.Get().(*[bufferBytes]byte)
+// relay sends the response to the caller. A short one is read completely first, so that the slot is
+// released early and a partial response is never sent.
+func (a *attempt) relay() attemptResult {
+	buf := a.x.h.buffers.Get().(*[relayBufferBytes]byte)
 	defer a.x.h.buffers.Put(buf)
-	if n := a.resp.ContentLength; n >= 0 && n <= bufferBytes || a.resp.Body == http.NoBody {
+	if n := a.resp.ContentLength; n >= 0 && n <= relayBufferBytes || a.resp.Body == http.NoBody {
 		return a.relayWhole(buf[:])
 	}
 	if a.undelimited() {
@@ -27,30 +27,30 @@
 	return a.relayStream(buf[:])
 }
 
-func (a *attempt) relayWhole(buf []byte) attemptEnd {
+func (a *attempt) relayWhole(buf []byte) attemptResult {
 	n, err := readAll(a.resp.Body, buf)
 	if err != nil {
-		return a.receiveFailed(err)
+		return a.receiveFailure(err)
 	}
-	a.received()
+	a.finishReceive()
 	a.x.writeHead(a)
-	a.x.record.write(buf[:n])
+	a.x.recorder.write(buf[:n])
 	if n == 0 {
-		return attemptEnd{}
+		return attemptResult{}
 	}
-	return a.toCaller(buf[:n])
+	return a.writeToCaller(buf[:n])
 }
 
-// relayUndelimited buffers an answer that ends with its connection, so that a reset within the
-// buffer still allows another attempt.
-func (a *attempt) relayUndelimited(buf []byte) attemptEnd {
+// relayUndelimited buffers the beginning of a response that ends with its connection, so that a reset
+// within the buffer still allows another attempt.
+func (a *attempt) relayUndelimited(buf []byte) attemptResult {
 	n, err := io.ReadFull(a.resp.Body, buf)
 	switch {
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 		a.resp.ContentLength = int64(n)
 		a.resp.Body = http.NoBody
 	case err != nil:
-		return a.receiveFailed(err)
+		return a.receiveFailure(err)
 	}
 	a.resp.Body = struct {
 		io.Reader
@@ -59,7 +59,7 @@
 	return a.relayStream(buf)
 }
 
-// readAll reads the whole of a body that fits.
+// readAll reads a body into buf. It fails with io.ErrShortBuffer if the body is longer.
 func readAll(r io.Reader, buf []byte) (int, error) {
 	n := 0
 	for {
@@ -81,156 +81,157 @@
 	}
 }
 
-func (a *attempt) relayStream(buf []byte) attemptEnd {
+func (a *attempt) relayStream(buf []byte) attemptResult {
 	x := a.x
-	flush := a.resp.ContentLength < 0 // pieces of unknown length go on as they come
+	flush := a.resp.ContentLength < 0 // without a known length, each part is forwarded as it arrives
 	for {
 		n, err := a.resp.Body.Read(buf)
 		if err != nil && err != io.EOF {
-			return a.receiveFailed(err)
+			return a.receiveFailure(err)
 		}
-		a.watch.receiving()
+		a.watchdog.responseProgress()
 		if err == io.EOF {
-			a.received()
+			a.finishReceive()
 		}
-		if !x.written {
+		if !x.headWritten {
 			x.writeHead(a)
 		}
-		x.record.write(buf[:n])
-		if end := a.toCaller(buf[:n]); end.Fault != FaultNone {
-			return end
+		x.recorder.write(buf[:n])
+		if result := a.writeToCaller(buf[:n]); result.Fault != FaultNone {
+			return result
 		}
 		if err == io.EOF {
 			x.copyTrailer(a.resp.Trailer)
-			return attemptEnd{}
+			return attemptResult{}
 		}
-		if flush && !x.gone {
+		if flush && !x.callerGone {
 			_ = x.rc.Flush()
 		}
 	}
 }
 
-// toCaller writes a part of the answer. If the caller of a keyed run has left, the answer is still
-// read to its end, to be kept.
-func (a *attempt) toCaller(p []byte) attemptEnd {
+// writeToCaller sends a part of the response. If the caller of a run with an idempotency key has
+// disconnected, the response is still read to its end and recorded.
+func (a *attempt) writeToCaller(p []byte) attemptResult {
 	x := a.x
-	if x.gone {
-		return attemptEnd{}
+	if x.callerGone {
+		return attemptResult{}
 	}
 	_ = x.rc.SetWriteDeadline(x.h.deps.Clock.Now().Add(x.snap.Document.Limits.IdleTimeoutMS.Duration()))
 	if _, err := x.w.Write(p); err != nil {
 		if x.claim != nil {
-			x.gone = true
-			return attemptEnd{}
+			x.callerGone = true
+			return attemptResult{}
 		}
-		return attemptEnd{Step: outcome.StepRelay, Fault: FaultCallerGone, Sent: true, Relayed: true, Err: err}
+		return attemptResult{Step: outcome.StepRelay, Fault: FaultCallerGone, Sent: true, Relayed: true, Err: err}
 	}
-	return attemptEnd{}
+	return attemptResult{}
 }
 
-// received records the clean end of an answer. Its connection may be reused.
-func (a *attempt) received() {
+// finishReceive handles the clean end of a response: it releases the slot and the connection, which may
+// be reused.
+func (a *attempt) finishReceive() {
 	a.x.recordAnswered()
-	if a.keep {
+	if a.keepConn {
 		a.conn.Keep()
 	} else {
 		a.conn.Drop()
 	}
 	a.conn = nil
-	a.release(&attemptEnd{})
+	a.release(&attemptResult{})
 }
 
-func (a *attempt) receiveFailed(err error) attemptEnd {
-	return attemptEnd{
+func (a *attempt) receiveFailure(err error) attemptResult {
+	return attemptResult{
 		Step:    outcome.StepReceive,
-		Fault:   a.faultOr(FaultShort),
+		Fault:   a.contextFault(FaultTruncated),
 		Sent:    true,
-		Relayed: a.x.written,
+		Relayed: a.x.headWritten,
 		Err:     err,
 	}
 }
 
-// writeHead writes the head of the target's answer.
+// writeHead sends the head of the target's response to the caller.
 func (x *exchange) writeHead(a *attempt) {
 	from := a.resp.Header
 	x.h.stripHeaders(from)
-	x.record.head(a.resp.StatusCode, from)
+	x.recorder.writeHead(a.resp.StatusCode, from)
 	to := x.w.Header()
 	maps.Copy(to, from)
 	if x.id != "" {
-		setOne(to, x.h.deps.Dialect.RequestID, x.id)
+		setHeader(to, x.h.deps.Dialect.RequestID, x.id)
 	}
 	if x.h.deps.Dialect.ExplainAnswers {
-		setOne(to, edge.HeaderOutcome, outcome.Answered.String())
-		setOne(to, edge.HeaderServedRegion, a.target.Region)
+		setHeader(to, edge.HeaderOutcome, outcome.Answered.String())
+		setHeader(to, edge.HeaderServedRegion, a.target.Region)
 	}
 	if _, ok := to["Content-Type"]; !ok {
-		to["Content-Type"] = nil // none is guessed by the library
+		to["Content-Type"] = nil // net/http would guess one
 	}
-	if n := a.resp.ContentLength; n >= 0 && bodyAllowed(a.resp.StatusCode) && first(to, "Content-Length") == "" {
-		setOne(to, "Content-Length", strconv.FormatInt(n, 10))
+	if n := a.resp.ContentLength; n >= 0 && bodyAllowed(a.resp.StatusCode) && headerValue(to, "Content-Length") == "" {
+		setHeader(to, "Content-Length", strconv.FormatInt(n, 10))
 	}
 	for name := range a.resp.Trailer {
 		to["Trailer"] = append(to["Trailer"], name)
 	}
-	x.served = a.target.Region
+	x.servedRegion = a.target.Region
 	x.status = a.resp.StatusCode
-	x.sentFor = x.h.deps.Clock.Now().Sub(a.sentAt)
-	x.written = true
+	x.targetLatency = x.h.deps.Clock.Now().Sub(a.sentAt)
+	x.headWritten = true
 	x.w.WriteHeader(a.resp.StatusCode)
 }
 
-// bodyAllowed reports whether an answer of this status may have a body.
+// bodyAllowed reports whether a response of this status may have a body.
 func bodyAllowed(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
 func (x *exchange) copyTrailer(t http.Header) { maps.Copy(x.w.Header(), t) }
 
-// recording keeps an answer while it is relayed, up to a limit.
-type recording struct {
-	limit int64
-	kept  idempotency.Answer
-	full  bool // it is larger than the limit
+// responseRecorder records a response while it is relayed, up to a limit.
+type responseRecorder struct {
+	limit    int64
+	recorded idempotency.Answer
+	tooLarge bool // the response is larger than the limit
 }
 
-func (r *recording) head(status int, h http.Header) {
+func (r *responseRecorder) writeHead(status int, h http.Header) {
 	if r == nil {
 		return
 	}
-	r.kept.Status = status
-	r.kept.Header = h.Clone()
+	r.recorded.Status = status
+	r.recorded.Header = h.Clone()
 }
 
-func (r *recording) write(p []byte) {
-	if r == nil || r.full {
+func (r *responseRecorder) write(p []byte) {
+	if r == nil || r.tooLarge {
 		return
 	}
-	if int64(len(r.kept.Body)+len(p)) > r.limit {
-		r.full = true
-		r.kept.Body = nil
+	if int64(len(r.recorded.Body)+len(p)) > r.limit {
+		r.tooLarge = true
+		r.recorded.Body = nil
 		return
 	}
-	r.kept.Body = append(r.kept.Body, p...)
+	r.recorded.Body = append(r.recorded.Body, p...)
 }
 
-// answer returns what was kept, or nil when it was too large.
-func (r *recording) answer() *idempotency.Answer {
-	if r == nil || r.full {
+// answer returns the recorded response, or nil if it was too large.
+func (r *responseRecorder) answer() *idempotency.Answer {
+	if r == nil || r.tooLarge {
 		return nil
 	}
-	return &r.kept
+	return &r.recorded
 }
 
-// replay sends a recorded answer.
+// replay sends a recorded response.
 func (x *exchange) replay(rec *idempotency.Answer) {
 	to := x.w.Header()
 	maps.Copy(to, rec.Header)
-	setOne(to, edge.HeaderRequestID, x.id)
-	setOne(to, edge.HeaderOutcome, outcome.Answered.String())
-	setOne(to, edge.HeaderReplayed, "1")
-	setOne(to, "Content-Length", strconv.Itoa(len(rec.Body)))
+	setHeader(to, edge.HeaderRequestID, x.id)
+	setHeader(to, edge.HeaderOutcome, outcome.Answered.String())
+	setHeader(to, edge.HeaderReplayed, "1")
+	setHeader(to, "Content-Length", strconv.Itoa(len(rec.Body)))
 	x.w.WriteHeader(rec.Status)
 	_, _ = x.w.Write(rec.Body)
-	x.observe(nil)
+	x.recordMetrics(nil)
 }
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -12,44 +12,44 @@
 	"masticturn/internal/telemetry"
 )
 
-// check checks the head of the answer before any byte is sent to the caller.
-func (a *attempt) check() attemptEnd {
+// checkHead checks the head of the response before any byte is sent to the caller.
+func (a *attempt) checkHead() attemptResult {
 	h := a.resp.Header
-	a.observe(h)
-	end := attemptEnd{Step: outcome.StepReceive, Sent: true, Consumed: a.consumed()}
-	if id := first(h, a.x.h.deps.Dialect.TargetRequestID); id != "" && id != a.x.id {
-		end.Fault = FaultCrossed
-		end.Err = fmt.Errorf("the answer carries request id %q", id)
-		return end
+	a.readTargetReport(h)
+	result := attemptResult{Step: outcome.StepReceive, Sent: true, Consumed: a.revokeUpload()}
+	if id := headerValue(h, a.x.h.deps.Dialect.TargetRequestID); id != "" && id != a.x.id {
+		result.Fault = FaultMismatched
+		result.Err = fmt.Errorf("response carries request ID %q", id)
+		return result
 	}
 	if a.notRun() {
-		end.Fault = FaultShed
-		end.Misdirected = a.resp.StatusCode == http.StatusMisdirectedRequest
-		end.SlotsFree = a.load != nil && a.load.Running < a.load.Slots
-		end.Err = errTargetRefused
-		end.Backoff = a.backoff
-		return end
+		result.Fault = FaultShed
+		result.Misdirected = a.resp.StatusCode == http.StatusMisdirectedRequest
+		result.SlotsFree = a.load != nil && a.load.Running < a.load.Slots
+		result.Err = errTargetRefused
+		result.Backoff = a.backoff
+		return result
 	}
 	if a.resp.StatusCode >= http.StatusInternalServerError {
-		return a.serverError(end)
+		return a.serverError(result)
 	}
 	if a.resp.StatusCode == http.StatusSwitchingProtocols {
-		end.Fault = FaultShort
-		end.Err = errors.New("the target switched protocols unasked")
-		return end
+		result.Fault = FaultTruncated
+		result.Err = errors.New("the target switched protocols unasked")
+		return result
 	}
 	if a.undelimited() && !a.x.h.deps.Dialect.UndelimitedAnswers {
-		end.Fault = FaultShort
-		end.Err = errors.New("the answer has neither a length nor chunks, so that its end can't be told from a cut")
-		return end
+		result.Fault = FaultTruncated
+		result.Err = errors.New("the answer has neither a length nor chunks, so that its end can't be told from a cut")
+		return result
 	}
-	return attemptEnd{}
+	return attemptResult{}
 }
 
 var errTargetRefused = errors.New("the target answered that it did not run the request")
 
-// notRun reports whether the target states that it did not run the request: by header, or by status if
-// another instance has the address. A 400 is always relayed.
+// notRun reports whether the target states that it did not run the request: by a header, or by status
+// 421 if a certain instance was expected. A 400 is always relayed.
 func (a *attempt) notRun() bool {
 	switch a.resp.StatusCode {
 	case http.StatusBadRequest:
@@ -59,39 +59,39 @@
 			return true
 		}
 	}
-	return first(a.resp.Header, a.x.h.deps.Dialect.TargetNotRun) != ""
+	return headerValue(a.resp.Header, a.x.h.deps.Dialect.TargetNotRun) != ""
 }
 
-// undelimited reports whether the answer ends with its connection.
+// undelimited reports whether the end of the response is marked only by the end of its connection.
 func (a *attempt) undelimited() bool {
 	return a.resp.ContentLength < 0 && len(a.resp.TransferEncoding) == 0 && a.resp.Body != http.NoBody
 }
 
-// serverError handles a failure answered by the target. It is relayed unless another attempt is
-// possible. A gateway timeout would leave another one no time.
-func (a *attempt) serverError(end attemptEnd) attemptEnd {
+// serverError handles a 5xx response of the target. It is relayed unless another attempt is possible.
+// A 504 is always relayed, as no time would be left for another attempt.
+func (a *attempt) serverError(result attemptResult) attemptResult {
 	if a.resp.StatusCode == http.StatusGatewayTimeout {
-		return attemptEnd{}
+		return attemptResult{}
 	}
-	end.Fault = FaultUnavailable
-	if !a.hedged && a.x.dispatch.mayRetry(end) && a.x.retryAllowed(a.target.Name) {
-		return end
+	result.Fault = FaultUnavailable
+	if !a.hedged && a.x.dispatch.mayRetry(result) && a.x.retryAllowed(a.target.Name) {
+		return result
 	}
-	return attemptEnd{}
+	return attemptResult{}
 }
 
-// observe reads the target's load report.
-func (a *attempt) observe(h http.Header) {
+// readTargetReport reads the load and the notices that the target reports in its headers.
+func (a *attempt) readTargetReport(h http.Header) {
 	d := a.x.h.deps.Dialect
-	if load, ok := d.ParseLoad(first(h, d.TargetLoad)); ok {
+	if load, ok := d.ParseLoad(headerValue(h, d.TargetLoad)); ok {
 		a.load = &load
 	}
-	if keeps := keepAliveTimeout(h.Get("Keep-Alive")); keeps > 0 {
-		a.conn.TargetKeeps(keeps)
+	if timeout := keepAliveTimeout(h.Get("Keep-Alive")); timeout > 0 {
+		a.conn.TargetKeeps(timeout)
 	}
-	a.draining = first(h, d.TargetDraining) == "1"
+	a.draining = headerValue(h, d.TargetDraining) == "1"
 	if a.resp.StatusCode == http.StatusServiceUnavailable {
-		a.backoff = min(parseRetryAfter(first(h, "Retry-After"), a.x.h.deps.Clock.Now()), maxBackoff)
+		a.backoff = min(parseRetryAfter(headerValue(h, "Retry-After"), a.x.h.deps.Clock.Now()), maxBackoff)
 	}
 	a.logNotice(h)
 	a.notifyAdmission()
@@ -109,37 +109,37 @@
 	})
 }
 
-// notifyAdmission passes the target's notice on, unless another instance answered.
+// notifyAdmission passes the target's notice to admission, unless another instance responded.
 func (a *attempt) notifyAdmission() {
-	hearer, ok := a.permit.(admission.NoticeReceiver)
+	receiver, ok := a.permit.(admission.NoticeReceiver)
 	if !ok || a.resp.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
-	if w := (admission.Notice{Leaving: a.draining, Backoff: a.backoff}); w != (admission.Notice{}) {
-		hearer.Notify(w)
+	if notice := (admission.Notice{Leaving: a.draining, Backoff: a.backoff}); notice != (admission.Notice{}) {
+		receiver.Notify(notice)
 	}
 }
 
-// logNotice logs what the target announces.
+// logNotice logs and counts the target's notices.
 func (a *attempt) logNotice(h http.Header) {
 	if a.draining {
-		a.x.h.series.leaving.Inc()
-		a.x.h.deps.Logger.Log(eventTargetLeaves, telemetry.Peer(a.target.Name), telemetry.Value("request_id", a.x.id))
+		a.x.h.series.leavingNotices.Inc()
+		a.x.h.deps.Logger.Log(eventTargetDraining, telemetry.Peer(a.target.Name), telemetry.Value("request_id", a.x.id))
 	}
-	if after := first(h, "Retry-After"); after != "" && a.resp.StatusCode == http.StatusServiceUnavailable {
-		a.x.h.series.backoffs.Inc()
+	if after := headerValue(h, "Retry-After"); after != "" && a.resp.StatusCode == http.StatusServiceUnavailable {
+		a.x.h.series.backoffNotices.Inc()
 		a.x.h.deps.Logger.Log(eventTargetBackoff, telemetry.Peer(a.target.Name), telemetry.Value("request_id", a.x.id),
 			telemetry.Value("retry_after", after[:min(len(after), maxLoggedHeader)]))
 	}
 }
 
-// maxBackoff bounds a target's Retry-After.
+// maxBackoff limits a target's Retry-After.
 const maxBackoff = 10 * time.Minute
 
-// maxLoggedHeader bounds the logged part of a header, in bytes.
+// maxLoggedHeader limits the logged part of a header value, in bytes.
 const maxLoggedHeader = 64
 
-// reportedLoad returns the load reported with the answer; -1 and 0 if there was none.
+// reportedLoad returns the load reported with the response; -1 and 0 if there was none.
 func (a *attempt) reportedLoad() (inFlight, slots int) {
 	if a.load == nil {
 		return -1, 0
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -8,7 +8,7 @@
 	"masticturn/internal/config"
 )
 
-// maxAttempts returns the rule's limit, or the document's.
+// maxAttempts returns the limit of the rule or else of the document; 1 for an exclusive run.
 func (x *exchange) maxAttempts(c *config.Retry) int {
 	if x.pass.Exclusive() {
 		return 1
@@ -19,28 +19,28 @@
 	return c.MaxAttempts
 }
 
-// spend takes a retry caused by a target from the budget.
-func (x *exchange) spend(target string) bool {
-	return x.h.budget.spend(x.match.Service.Name, target, &x.snap.Document.Retry)
+// withdrawRetry takes a retry caused by a target from the retry budget.
+func (x *exchange) withdrawRetry(target string) bool {
+	return x.h.retryBudget.withdraw(x.match.Service.Name, target, &x.snap.Document.Retry)
 }
 
-// retryAllowed reports whether the budget allows a retry caused by a target.
+// retryAllowed reports whether the retry budget allows a retry caused by a target.
 func (x *exchange) retryAllowed(target string) bool {
-	return x.h.budget.available(x.match.Service.Name, target, &x.snap.Document.Retry)
+	return x.h.retryBudget.available(x.match.Service.Name, target, &x.snap.Document.Retry)
 }
 
-// retryRule returns the rule of this request.
-func (x *exchange) retryRule(c *config.Retry) retryRule {
-	return retryRule{
+// retryPolicy returns the retry policy of the request.
+func (x *exchange) retryPolicy(c *config.Retry) retryPolicy {
+	return retryPolicy{
 		repeatable:  x.repeatable,
 		maxAttempts: x.maxAttempts(c),
 		deadline:    x.deadline,
-		spend:       x.spend,
+		withdraw:    x.withdrawRetry,
 		backoff:     x.backoff(c),
 	}
 }
 
-// backoff returns the waits between attempts: exponential, with jitter.
+// backoff returns a function that returns the wait before each next attempt: exponential, with jitter.
 func (x *exchange) backoff(c *config.Retry) func() time.Duration {
 	var b *backoff.ExponentialBackOff
 	return func() time.Duration {
--- a/internal/forward/screen.go
+++ b/internal/forward/screen.go
@@ -17,38 +17,38 @@
 )
 
 const (
-	// probeTimeout bounds the wait of a retry for the probe of the last target.
-	probeTimeout = 300 * time.Millisecond
-	// maxReadAhead bounds the memory of bodies read ahead, in bytes.
-	maxReadAhead = 32 << 20
-	// readAheadPiece is the step in which that memory is reserved, in bytes.
-	readAheadPiece = 64 << 10
-	// readAheadRetryAfter is the retry advice if it is used up.
+	// probeWaitTimeout limits how long a retry waits for the probe of the last target.
+	probeWaitTimeout = 300 * time.Millisecond
+	// maxReadAheadBytes limits the memory of all bodies that are read ahead.
+	maxReadAheadBytes = 32 << 20
+	// readAheadChunkBytes is the unit in which that memory is reserved.
+	readAheadChunkBytes = 64 << 10
+	// readAheadRetryAfter is the Retry-After if that memory is used up.
 	readAheadRetryAfter = 500 * time.Millisecond
 )
 
-// subject returns the request's identity as far as it is known.
+// subject returns the digests of the request that are known so far.
 func (x *exchange) subject() quarantine.Subject {
 	var s quarantine.Subject
 	s.Whole, _ = x.digest()
 	if x.r.ContentLength != 0 {
-		s.Head = x.head.Key()
+		s.Head = x.headDigest.Key()
 	}
 	if x.stream != nil {
-		if lead := x.stream.lead.Load(); lead != nil {
+		if lead := x.stream.leadDigest.Load(); lead != nil {
 			s.Lead = *lead
 		}
 	}
 	return s
 }
 
-// screen rejects requests that crash targets.
-func (x *exchange) screen() *outcome.Error {
+// checkQuarantine rejects requests that are suspect or quarantined because they crashed targets.
+func (x *exchange) checkQuarantine() *outcome.Error {
 	screen := x.h.deps.Screen
 	if screen == nil || !screen.Active() {
 		return nil
 	}
-	if x.stream != nil && screen.HasHead(x.head.Key()) {
+	if x.stream != nil && screen.HasHead(x.headDigest.Key()) {
 		if err := x.readAhead(); err != nil {
 			return err
 		}
@@ -57,16 +57,16 @@
 	defer cancel()
 	pass, refusal := screen.Enter(ctx, x.subject())
 	if refusal != nil {
-		return x.rejectHeld(refusal)
+		return x.quarantineError(refusal)
 	}
 	x.pass = pass
 	return nil
 }
 
-// rejectHeld is the error of a held request. In quarantine its status is one that
-// clients do not retry.
-func (x *exchange) rejectHeld(r *quarantine.Refusal) *outcome.Error {
-	x.h.deps.Logger.Log(eventHeldBack,
+// quarantineError logs a request held back by the quarantine and returns its error. A quarantined
+// request gets a status that clients do not retry.
+func (x *exchange) quarantineError(r *quarantine.Refusal) *outcome.Error {
+	x.h.deps.Logger.Log(eventRequestHeldBack,
 		telemetry.Value("request_id", x.id),
 		telemetry.Value("digest", r.Digest.String()),
 		telemetry.Value("verdict", r.Verdict.String()),
@@ -74,118 +74,120 @@
 		telemetry.Value("age_ms", r.Age.Milliseconds()),
 		telemetry.Value("trials", r.Trials))
 	if r.Verdict == quarantine.Quarantined {
-		return refuse(outcome.StepScreen, http.StatusBadRequest, "targets have crashed while running this request; it is in quarantine")
+		return notRunError(outcome.StepScreen, http.StatusBadRequest, "targets have crashed while running this request; it is in quarantine")
 	}
-	err := refuse(outcome.StepScreen, http.StatusServiceUnavailable, "targets have crashed while running this request; another run is in progress")
+	err := notRunError(outcome.StepScreen, http.StatusServiceUnavailable, "targets have crashed while running this request; another run is in progress")
 	err.RetryAfter = r.RetryAfter
 	return err
 }
 
-// screenAgain screens a request that may have become suspect while it waited.
-func (a *attempt) screenAgain() attemptEnd {
+// recheckQuarantine repeats the check for a request that may have become suspect while it waited for
+// a slot and a connection.
+func (a *attempt) recheckQuarantine() attemptResult {
 	x := a.x
 	if x.h.deps.Screen == nil || x.pass.Exclusive() {
-		return attemptEnd{}
+		return attemptResult{}
 	}
 	refusal := x.h.deps.Screen.Barred(x.subject())
 	if refusal == nil {
-		return attemptEnd{}
+		return attemptResult{}
 	}
-	err := x.rejectHeld(refusal)
+	err := x.quarantineError(refusal)
 	a.permit.Release(admission.Result{Outcome: outcome.NotRun, Step: outcome.StepScreen, InFlight: -1, Canceled: true})
 	a.released = true
-	return attemptEnd{Step: outcome.StepScreen, Fault: FaultHeld, Err: err, Status: err.Status, RetryAfter: err.RetryAfter}
+	return attemptResult{Step: outcome.StepScreen, Fault: FaultQuarantined, Err: err, Status: err.Status, RetryAfter: err.RetryAfter}
 }
 
-// recordAnswered records that a target answered the request.
+// recordAnswered tells the quarantine that a target answered the request.
 func (x *exchange) recordAnswered() {
 	if s := x.h.deps.Screen; s != nil && s.Active() {
 		s.Answered(x.subject())
 	}
 }
 
-// awaitProbe waits for the probe of the last target if the request has crashed others.
+// awaitProbe waits for the probe of the last target if the request is on record for crashes.
 func (x *exchange) awaitProbe(ctx context.Context) {
-	if s := x.h.deps.Screen; s == nil || x.probed == nil || !s.Active() || !s.Has(x.subject()) {
+	if s := x.h.deps.Screen; s == nil || x.probeDone == nil || !s.Active() || !s.Has(x.subject()) {
 		return
 	}
-	timer := time.NewTimer(probeTimeout)
+	timer := time.NewTimer(probeWaitTimeout)
 	defer timer.Stop()
 	select {
-	case <-x.probed:
+	case <-x.probeDone:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// releaseScreen releases the request's lease and body memory.
-func (x *exchange) releaseScreen() {
-	x.h.bodies.free(x.kept)
+// releaseQuarantine releases the memory of the body and an exclusive pass, the latter after a probe in
+// progress.
+func (x *exchange) releaseQuarantine() {
+	x.h.readAheadMemory.release(x.reservedBytes)
 	if !x.pass.Exclusive() {
 		return
 	}
-	if x.probed == nil {
+	if x.probeDone == nil {
 		x.pass.Release()
 		return
 	}
 	go func(pass *quarantine.Pass, probed <-chan struct{}) {
 		<-probed
 		pass.Release()
-	}(x.pass, x.probed)
+	}(x.pass, x.probeDone)
 }
 
-// readAhead reads the body of a request whose head is on record, up to the part that
-// counts for its digest.
+// readAhead reads the body of a request whose head is on record for crashes, as far as the body counts
+// for the digest.
 func (x *exchange) readAhead() *outcome.Error {
-	var read bytes.Buffer
-	for read.Len() < digest.BodyMost {
-		if !x.h.bodies.reserve(readAheadPiece) {
-			err := refuse(outcome.StepScreen, http.StatusServiceUnavailable, "too many bodies are read ahead")
+	var prefix bytes.Buffer
+	for prefix.Len() < digest.BodyMost {
+		if !x.h.readAheadMemory.reserve(readAheadChunkBytes) {
+			err := notRunError(outcome.StepScreen, http.StatusServiceUnavailable, "too many bodies are read ahead")
 			err.RetryAfter = readAheadRetryAfter
 			return err
 		}
-		x.kept += readAheadPiece
-		_, err := io.CopyN(&read, x.stream, readAheadPiece)
+		x.reservedBytes += readAheadChunkBytes
+		_, err := io.CopyN(&prefix, x.stream, readAheadChunkBytes)
 		if errors.Is(err, io.EOF) {
-			x.adoptBody(read.Bytes())
+			x.keepBody(prefix.Bytes())
 			return nil
 		}
 		if err != nil {
-			return x.bodyFailed(err)
+			return x.bodyReadError(err)
 		}
 	}
-	x.whole = x.stream.sum.Whole()
-	x.stream = x.stream.replay(read.Bytes())
+	x.requestDigest = x.stream.hasher.Whole()
+	x.stream = x.stream.withPrefix(prefix.Bytes())
 	return nil
 }
 
-// adoptBody keeps a body that was read whole. One with trailers is still streamed.
-func (x *exchange) adoptBody(body []byte) {
-	x.whole = *x.stream.whole.Load()
+// keepBody buffers a body that was read completely. A request with trailers is still streamed.
+func (x *exchange) keepBody(body []byte) {
+	x.requestDigest = *x.stream.requestDigest.Load()
 	if len(x.r.Trailer) > 0 {
-		x.stream = x.stream.replay(body)
+		x.stream = x.stream.withPrefix(body)
 		return
 	}
 	x.body, x.stream = body, nil
 }
 
-// bodyFailed is the error of a body that could not be read ahead.
-func (x *exchange) bodyFailed(err error) *outcome.Error {
+// bodyReadError returns the error of a body that could not be read ahead.
+func (x *exchange) bodyReadError(err error) *outcome.Error {
 	if errors.Is(err, errBodyTooLarge) {
-		return refuse(outcome.StepScreen, http.StatusRequestEntityTooLarge, errBodyTooLarge.Error())
+		return notRunError(outcome.StepScreen, http.StatusRequestEntityTooLarge, errBodyTooLarge.Error())
 	}
-	return refuse(outcome.StepScreen, http.StatusRequestTimeout, "the body could not be read")
+	return notRunError(outcome.StepScreen, http.StatusRequestTimeout, "the body could not be read")
 }
 
-// bodyBudget bounds the memory of bodies read ahead. Its zero value is unused.
-type bodyBudget struct{ used atomic.Int64 }
+// memoryBudget limits the memory of bodies read ahead. The zero value is ready to use.
+type memoryBudget struct{ used atomic.Int64 }
 
-func (b *bodyBudget) reserve(n int64) bool {
-	if b.used.Add(n) <= maxReadAhead {
+func (b *memoryBudget) reserve(n int64) bool {
+	if b.used.Add(n) <= maxReadAheadBytes {
 		return true
 	}
 	b.used.Add(-n)
 	return false
 }
 
-func (b *bodyBudget) free(n int64) { b.used.Add(-n) }
+func (b *memoryBudget) release(n int64) { b.used.Add(-n) }
--- a/internal/forward/screen_test.go
+++ b/internal/forward/screen_test.go
@@ -18,66 +18,66 @@
 	"masticturn/internal/telemetry"
 )
 
-// fixedScreen holds back some requests.
-type fixedScreen struct {
-	mu       sync.Mutex
-	held     map[digest.Digest]bool
-	heads    map[digest.Digest]bool
-	barred   bool // whatever has entered
-	crashed  []quarantine.Subject
-	answered []quarantine.Subject
+// fakeScreen is a quarantine.Screen that rejects the digests in held.
+type fakeScreen struct {
+	mu            sync.Mutex
+	held          map[digest.Digest]bool
+	heads         map[digest.Digest]bool
+	barAfterCrash bool // Barred rejects all requests after the first crash
+	crashed       []quarantine.Subject
+	answered      []quarantine.Subject
 }
 
-func (f *fixedScreen) Active() bool                 { return true }
-func (f *fixedScreen) Has(quarantine.Subject) bool  { return true }
-func (f *fixedScreen) HasHead(h digest.Digest) bool { return f.heads[h] }
+func (f *fakeScreen) Active() bool                 { return true }
+func (f *fakeScreen) Has(quarantine.Subject) bool  { return true }
+func (f *fakeScreen) HasHead(h digest.Digest) bool { return f.heads[h] }
 
-func (f *fixedScreen) Enter(_ context.Context, s quarantine.Subject) (*quarantine.Pass, *quarantine.Refusal) {
+func (f *fakeScreen) Enter(_ context.Context, s quarantine.Subject) (*quarantine.Pass, *quarantine.Refusal) {
 	if f.held[s.Whole] {
 		return nil, &quarantine.Refusal{Digest: s.Whole, Judgement: quarantine.Judgement{Verdict: quarantine.Quarantined}}
 	}
 	return nil, nil
 }
 
-func (f *fixedScreen) Barred(s quarantine.Subject) *quarantine.Refusal {
+func (f *fakeScreen) Barred(s quarantine.Subject) *quarantine.Refusal {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.barred && len(f.crashed) > 0 {
+	if f.barAfterCrash && len(f.crashed) > 0 {
 		return &quarantine.Refusal{Digest: s.Whole, Judgement: quarantine.Judgement{Verdict: quarantine.Quarantined}}
 	}
 	return nil
 }
 
-func (f *fixedScreen) Crashed(s quarantine.Subject, _ string, _, _ time.Time) {
+func (f *fakeScreen) Crashed(s quarantine.Subject, _ string, _, _ time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashed = append(f.crashed, s)
 }
 
-func (f *fixedScreen) Answered(s quarantine.Subject) {
+func (f *fakeScreen) Answered(s quarantine.Subject) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answered = append(f.answered, s)
 }
 
-// screened returns a bench whose handler asks a screen.
-func screened(t *testing.T, s *fixedScreen, targets ...string) *bench {
+// newQuarantineProxy returns a proxy with the given quarantine screen.
+func newQuarantineProxy(t *testing.T, s *fakeScreen, targets ...string) *testProxy {
 	t.Helper()
-	b := newBench(t, document(targets...), nil, telemetry.Discard())
+	b := newTestProxy(t, testDocument(targets...), nil, telemetry.Discard())
 	b.handler.deps.Screen = s
-	b.handler.ends.deps.Screen = s
+	b.handler.crashProber.deps.Screen = s
 	return b
 }
 
-// headOf is the identity of a request's head as the bench's callers send it.
-func (b *bench) headOf(method, uri string) digest.Head {
+// headOf returns the head digest of a request sent by the proxy's client.
+func (b *testProxy) headOf(method, uri string) digest.Head {
 	return digest.HeadOf(method, strings.TrimPrefix(b.URL, "http://"), uri, "", "")
 }
 
-// pieces hides a body's length, so that it is sent in chunks.
-type pieces struct{ io.Reader }
+// chunkedBody hides the length of a body, so that it is sent with chunked encoding.
+type chunkedBody struct{ io.Reader }
 
-func TestBodiesTellRequestsApart(t *testing.T) {
+func TestQuarantineDistinguishesBodies(t *testing.T) {
 	var got atomic.Pointer[string]
 	target := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
@@ -85,8 +85,8 @@
 		got.Store(&text)
 		_, _ = io.WriteString(w, "ok")
 	})
-	s := &fixedScreen{}
-	b := screened(t, s, target)
+	s := &fakeScreen{}
+	b := newQuarantineProxy(t, s, target)
 	head := b.headOf("POST", "/svc/a?q=1")
 	s.heads = map[digest.Digest]bool{head.Key(): true}
 	s.held = make(map[digest.Digest]bool)
@@ -95,26 +95,26 @@
 		s.held[head.Of([]byte(bad))] = true
 		for name, body := range map[string]func(string) io.Reader{
 			"with a length": func(text string) io.Reader { return strings.NewReader(text) },
-			"in chunks":     func(text string) io.Reader { return pieces{strings.NewReader(text)} },
+			"in chunks":     func(text string) io.Reader { return chunkedBody{strings.NewReader(text)} },
 		} {
 			got.Store(nil)
 			resp, text, err := b.call(t, "POST", "/svc/a?q=1", body(bad))
 			if err != nil || resp.StatusCode != http.StatusBadRequest || resp.Header.Get("Retry-After") != "" || !strings.Contains(text, "quarantine") {
-				t.Errorf("%d bytes %s: %v %q %v, want it refused", length, name, resp, text, err)
+				t.Errorf("%d bytes %s: %v %q %v, want it rejected", length, name, resp, text, err)
 			}
 			if resp.Header.Get(edge.HeaderOutcome) != "not-run" || got.Load() != nil {
-				t.Errorf("%d bytes %s: it ran, or the caller is told %q", length, name, resp.Header.Get(edge.HeaderOutcome))
+				t.Errorf("%d bytes %s: it ran, or its outcome is %q", length, name, resp.Header.Get(edge.HeaderOutcome))
 			}
 			resp, _, err = b.call(t, "POST", "/svc/a?q=1", body(good))
 			if err != nil || resp.StatusCode != http.StatusOK {
-				t.Errorf("%d bytes %s: %v %v, want another body served", length, name, resp, err)
+				t.Errorf("%d bytes %s: %v %v, want the other body to be served", length, name, resp, err)
 			}
 			if p := got.Load(); p == nil || *p != good {
 				t.Errorf("%d bytes %s: the target got another body", length, name)
 			}
 		}
 	}
-	if used := b.handler.bodies.used.Load(); used != 0 {
+	if used := b.handler.readAheadMemory.used.Load(); used != 0 {
 		t.Errorf("%d bytes are still held for bodies", used)
 	}
 	if b.heldPermits() != 0 {
@@ -122,17 +122,17 @@
 	}
 }
 
-func TestTrailersOutliveReadingAhead(t *testing.T) {
+func TestReadAheadKeepsTrailers(t *testing.T) {
 	var got atomic.Pointer[string]
 	target := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
 		text := string(raw) + " " + r.Trailer.Get("X-Sum")
 		got.Store(&text)
 	})
-	s := &fixedScreen{}
-	b := screened(t, s, target)
+	s := &fakeScreen{}
+	b := newQuarantineProxy(t, s, target)
 	s.heads = map[digest.Digest]bool{b.headOf("POST", "/svc/a").Key(): true}
-	req, _ := http.NewRequest("POST", b.URL+"/svc/a", pieces{strings.NewReader("body")})
+	req, _ := http.NewRequest("POST", b.URL+"/svc/a", chunkedBody{strings.NewReader("body")})
 	req.Trailer = http.Header{"X-Sum": {"7"}}
 	resp, err := b.client.Do(req)
 	if err != nil || resp.StatusCode != http.StatusOK {
@@ -144,32 +144,33 @@
 	}
 }
 
-// Bodies that are read ahead are bounded together.
-func TestReadingAheadIsBounded(t *testing.T) {
-	s := &fixedScreen{}
-	b := screened(t, s, newTarget(t, func(http.ResponseWriter, *http.Request) {}))
+// The memory of all bodies that are read ahead is limited.
+func TestReadAheadMemoryIsLimited(t *testing.T) {
+	s := &fakeScreen{}
+	b := newQuarantineProxy(t, s, newTarget(t, func(http.ResponseWriter, *http.Request) {}))
 	s.heads = map[digest.Digest]bool{b.headOf("POST", "/svc/a").Key(): true}
-	b.handler.bodies.reserve(maxReadAhead - readAheadPiece)
-	resp, _, err := b.call(t, "POST", "/svc/a", bytes.NewReader(make([]byte, 3*readAheadPiece)))
+	b.handler.readAheadMemory.reserve(maxReadAheadBytes - readAheadChunkBytes)
+	resp, _, err := b.call(t, "POST", "/svc/a", bytes.NewReader(make([]byte, 3*readAheadChunkBytes)))
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("%v %v, want it refused for a while", resp, err)
+		t.Errorf("%v %v, want 503 with Retry-After", resp, err)
 	}
-	b.handler.bodies.free(maxReadAhead - readAheadPiece)
-	if used := b.handler.bodies.used.Load(); used != 0 {
+	b.handler.readAheadMemory.release(maxReadAheadBytes - readAheadChunkBytes)
+	if used := b.handler.readAheadMemory.used.Load(); used != 0 {
 		t.Errorf("%d bytes are still held for bodies", used)
 	}
 }
 
-// A retry does not go to another target once the first one has crashed and the
-// request is held back; what has run is not said not to have.
+// A retry is not sent to another target if the first target has crashed and the
+// quarantine rejects the request. As the request may have run, its outcome is
+// unknown.
 func TestRetryIsHeldBackAfterACrash(t *testing.T) {
 	var reached atomic.Int64
 	second := newTarget(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
-	s := &fixedScreen{barred: true}
-	b := screened(t, s, breakingTarget(t, true), second)
+	s := &fakeScreen{barAfterCrash: true}
+	b := newQuarantineProxy(t, s, newBreakingTarget(t, true), second)
 	resp, _, err := b.call(t, "GET", "/svc/a", nil)
 	if err != nil || resp.StatusCode != http.StatusBadGateway || resp.Header.Get(edge.HeaderOutcome) != "unknown" {
-		t.Errorf("%v %v, want 502 and that nobody knows", resp, err)
+		t.Errorf("%v %v, want 502 and outcome unknown", resp, err)
 	}
 	if reached.Load() != 0 {
 		t.Error("the request reached another target")
@@ -179,9 +180,9 @@
 	}
 }
 
-// A target that crashes before the whole body was sent tells of the requests that
-// begin alike.
-func TestCrashDuringAnUploadTellsItsBeginning(t *testing.T) {
+// A crash before the whole body was sent is reported with the digest of the
+// beginning of the body, as the whole digest is not known.
+func TestCrashDuringUploadReportsLeadDigest(t *testing.T) {
 	var s *httptest.Server
 	s = httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadFull(r.Body, make([]byte, 10_000))
@@ -189,14 +190,14 @@
 		panic(http.ErrAbortHandler)
 	}))
 	defer s.Close()
-	screen := &fixedScreen{}
-	b := screened(t, screen, s.Listener.Addr().String())
-	body, feed := io.Pipe()
+	screen := &fakeScreen{}
+	b := newQuarantineProxy(t, screen, s.Listener.Addr().String())
+	body, writer := io.Pipe()
 	beginning := bytes.Repeat([]byte("x"), 20_000)
 	go func() {
 		var err error
-		for err == nil { // it goes on until nobody reads it any more
-			_, err = feed.Write(beginning)
+		for err == nil { // until the reader is closed
+			_, err = writer.Write(beginning)
 			time.Sleep(time.Millisecond)
 		}
 	}()
--- a/internal/forward/service.go
+++ b/internal/forward/service.go
@@ -18,27 +18,27 @@
 // ServiceName is the name under which the service is registered.
 const ServiceName = "forward.callers"
 
-// Defaults of the callers' listener without a document.
+// Settings of the callers' listener. The document can override the header limits and the idle timeout.
 const (
 	defaultHeaderBytes   = 64 << 10
 	defaultHeaderTimeout = 10 * time.Second
-	callerIdleTimeout    = 90 * time.Second // of a connection without a request
+	callerIdleTimeout    = 90 * time.Second // of a connection between requests
 	sweepInterval        = time.Second
-	acceptPause          = 10 * time.Millisecond // after an accept that failed, such as for want of descriptors
+	acceptErrorDelay     = 10 * time.Millisecond // after a failed Accept, for example when file descriptors run out
 )
 
-// ServiceDeps is what a Service needs.
+// ServiceDeps holds the dependencies of a Service.
 type ServiceDeps struct {
 	Handler *Handler
-	Lookup  http.Handler // serves edge.PathLookup; nil: it is not served
+	Lookup  http.Handler // serves edge.PathLookup; nil: Handler serves that path too
 	Listen  string       // host:port
-	// Listener is used in place of Listen, if not nil.
+	// Listener, if not nil, is used instead of listening on Listen.
 	Listener net.Listener
 	Config   config.Source
 	Logger   *telemetry.Logger
 }
 
-// Service owns the callers' listener.
+// Service runs the HTTP server that callers connect to.
 type Service struct {
 	deps     ServiceDeps
 	front    *frontend
@@ -49,7 +49,7 @@
 
 var _ kernel.Service = (*Service)(nil)
 
-// NewService returns a service.
+// NewService creates a Service. Start opens its listener.
 func NewService(d ServiceDeps) *Service { return &Service{deps: d, done: make(chan struct{})} }
 
 // Provision implements kernel.Service.
@@ -71,21 +71,21 @@
 	}
 	s.listener = l
 	s.front = newFrontend(newLimitedListener(l, s.deps.Config), s.handler(), headLimitsOf(s.deps.Config.Current()))
-	s.cancel = s.deps.Config.Subscribe(s.adopt)
+	s.cancel = s.deps.Config.Subscribe(s.applySnapshot)
 	go s.front.serve()
-	go s.every(ctx, sweepInterval, s.deps.Handler.Sweep)
-	go s.every(ctx, targetconn.AheadInterval, func() { s.deps.Handler.OpenAhead(ctx) })
+	go s.runEvery(ctx, sweepInterval, s.deps.Handler.Sweep)
+	go s.runEvery(ctx, targetconn.AheadInterval, func() { s.deps.Handler.OpenAhead(ctx) })
 	s.deps.Logger.Log(eventServing, telemetry.Value("address", l.Addr().String()))
 	return nil
 }
 
-func (s *Service) adopt(snap *config.Snapshot) {
+func (s *Service) applySnapshot(snap *config.Snapshot) {
 	s.front.setLimits(headLimitsOf(snap))
 	s.deps.Handler.Adopt(snap)
 }
 
-// handler separates look-ups from requests. A mux would redirect to clean paths, which are the
-// targets' business.
+// handler passes look-ups to Lookup and all other requests to Handler. An http.ServeMux would redirect
+// to cleaned paths, but paths are up to the targets.
 func (s *Service) handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.deps.Lookup != nil && r.URL.Path == edge.PathLookup {
@@ -99,17 +99,17 @@
 // InFlight returns the number of requests in flight.
 func (s *Service) InFlight() int { return s.deps.Handler.InFlight() }
 
-// CloseConnections closes callers' connections with their next answer.
+// CloseConnections makes each caller's connection close after its next response.
 func (s *Service) CloseConnections() { s.deps.Handler.CloseConnections() }
 
-// Refuse makes the handler refuse further requests as not run.
+// Refuse makes the handler reject further requests as not run.
 func (s *Service) Refuse() { s.deps.Handler.Refuse() }
 
-// Address returns where the listener is open.
+// Address returns the address of the listener.
 func (s *Service) Address() string { return s.listener.Addr().String() }
 
-// every calls f at an interval until the service stops.
-func (s *Service) every(ctx context.Context, interval time.Duration, f func()) {
+// runEvery calls f at the interval until the service stops.
+func (s *Service) runEvery(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -132,13 +132,13 @@
 	return trace.Wrap(s.front.shutdown(ctx), "wait for requests in flight")
 }
 
-// Stop implements kernel.Service. Requests still in flight are cut and counted.
+// Stop implements kernel.Service. Requests still in flight are aborted, and their number is logged.
 func (s *Service) Stop(context.Context) error {
 	if s.front == nil {
 		return nil
 	}
 	if n := s.deps.Handler.InFlight(); n > 0 {
-		s.deps.Logger.Log(eventCut, telemetry.Value("requests", n))
+		s.deps.Logger.Log(eventRequestsAborted, telemetry.Value("requests", n))
 	}
 	s.cancel()
 	close(s.done)
--- a/internal/forward/silent_test.go
+++ b/internal/forward/silent_test.go
@@ -13,21 +13,21 @@
 	"masticturn/internal/telemetry"
 )
 
-// silent returns a target that takes requests and says nothing until the test
+// newSilentTarget returns a target that reads requests and sends nothing until the test
 // ends.
-func silent(t *testing.T) *scriptedTarget {
+func newSilentTarget(t *testing.T) *scriptedTarget {
 	t.Helper()
 	hold := make(chan struct{})
 	t.Cleanup(func() { close(hold) })
 	target := newScripted(t)
-	target.set(script{readBytes: -1, writeBytes: 0, hold: hold})
+	target.set(script{readBytes: -1, writeBytes: 0, release: hold})
 	return target
 }
 
 func TestSilentTargetIsLeftForAnotherOnlyWhenRepeatable(t *testing.T) {
-	mute, good := silent(t), newScripted(t)
-	good.set(whole(okAnswer))
-	doc := document(mute.address, good.address)
+	silent, good := newSilentTarget(t), newScripted(t)
+	good.set(fullAnswer(okAnswer))
+	doc := testDocument(silent.address, good.address)
 	doc.Classes[0].TimeoutMS = 600
 	tests := []struct {
 		method, header, value string
@@ -39,8 +39,8 @@
 		{"GET", edge.HeaderNoRetry, "1", http.StatusGatewayTimeout, 0, "unknown"},
 	}
 	for _, tt := range tests {
-		good.set(whole(okAnswer))
-		b := newBench(t, doc, nil, telemetry.Discard())
+		good.set(fullAnswer(okAnswer))
+		b := newTestProxy(t, doc, nil, telemetry.Discard())
 		resp, _, err := b.call(t, tt.method, "/svc/a", nil, tt.header, tt.value)
 		if err != nil {
 			t.Fatal(err)
@@ -52,13 +52,14 @@
 	}
 }
 
-// One connection that went silent costs the other idle ones their trust.
+// After a timeout on one connection, the other idle connections to the target are
+// closed.
 func TestSilenceDropsTheIdleConnectionsOfTheTarget(t *testing.T) {
 	target := newScripted(t)
-	target.set(whole(okAnswer))
-	doc := document(target.address)
+	target.set(fullAnswer(okAnswer))
+	doc := testDocument(target.address)
 	doc.Classes[0].TimeoutMS = 300
-	b := newBench(t, doc, nil, telemetry.Discard())
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
 	for range 3 {
 		if _, _, err := b.call(t, "GET", "/svc/a", nil); err != nil {
 			t.Fatal(err)
@@ -68,50 +69,51 @@
 	before := opened.Get()
 	hold := make(chan struct{})
 	defer close(hold)
-	target.set(script{readBytes: -1, writeBytes: 0, hold: hold})
+	target.set(script{readBytes: -1, writeBytes: 0, release: hold})
 	if resp, _, err := b.call(t, "GET", "/svc/a", nil); err != nil || resp.StatusCode != http.StatusGatewayTimeout {
 		t.Fatal(resp, err)
 	}
-	target.set(whole(okAnswer))
+	target.set(fullAnswer(okAnswer))
 	if resp, _, err := b.call(t, "GET", "/svc/a", nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
 	}
 	if opened.Get() != before+1 {
-		t.Errorf("%d connections were opened after the silence, want 1", opened.Get()-before)
+		t.Errorf("%d connections were opened after the timeout, want 1", opened.Get()-before)
 	}
 }
 
 func TestAnswerThatStopsMidwayBreaksTheCallersConnection(t *testing.T) {
-	body := strings.Repeat("x", 2*bufferBytes)
+	body := strings.Repeat("x", 2*relayBufferBytes)
 	address := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "65536")
 		_, _ = io.WriteString(w, body[:len(body)/2+100])
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	})
-	doc := document(address)
+	doc := testDocument(address)
 	doc.Limits.IdleTimeoutMS = 100
-	b := newBench(t, doc, nil, telemetry.Discard())
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
 	_, got, err := b.call(t, "GET", "/svc/a", nil)
 	if err == nil {
-		t.Errorf("%d bytes were taken for a whole answer", len(got))
+		t.Errorf("%d bytes were relayed as a complete response", len(got))
 	}
 	if n := b.heldPermits(); n != 0 {
 		t.Errorf("%d permits are still held", n)
 	}
 }
 
-// A caller that left frees its slot and ends the target's work.
+// If the caller disconnects, its slot is released and the target's request is
+// canceled.
 func TestCallerThatLeavesFreesTheSlot(t *testing.T) {
 	ended := make(chan struct{})
 	address := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(ended)
 	})
-	b := newBench(t, document(address), nil, telemetry.Discard())
+	b := newTestProxy(t, testDocument(address), nil, telemetry.Discard())
 	b.client.Timeout = 100 * time.Millisecond
 	if _, _, err := b.call(t, "GET", "/svc/a", nil); err == nil {
-		t.Fatal("the caller did not give up")
+		t.Fatal("the caller did not time out")
 	}
 	<-ended
 	if b.heldPermits() != 0 || !b.admission.released[0].Canceled {
@@ -119,9 +121,9 @@
 	}
 }
 
-// The caller hears that the deadline has passed before it gives up itself.
+// The error response for a passed deadline arrives before the caller's own timeout.
 func TestDeadlineIsToldBeforeTheCallerGivesUp(t *testing.T) {
-	b := newBench(t, oneAttempt(silent(t).address), nil, telemetry.Discard())
+	b := newTestProxy(t, singleAttemptDocument(newSilentTarget(t).address), nil, telemetry.Discard())
 	b.client.Timeout = time.Second
 	resp, _, err := b.call(t, "POST", "/svc/a", nil, edge.HeaderTimeoutMS, "1000")
 	if err != nil || resp.StatusCode != http.StatusGatewayTimeout || resp.Header.Get(edge.HeaderOutcome) != "unknown" {
@@ -129,16 +131,16 @@
 	}
 }
 
-// A caller that stops reading loses its answer, not others their slot.
+// If the caller stops reading, the response is aborted and the slot is released.
 func TestCallerThatStopsReadingFreesTheSlot(t *testing.T) {
 	address := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "1073741824")
-		_, _ = io.Copy(w, endless{})
+		_, _ = io.Copy(w, endlessReader{})
 	})
-	doc := document(address)
+	doc := testDocument(address)
 	doc.Limits.IdleTimeoutMS = 100
 	doc.Classes[0].TimeoutMS = 600_000
-	b := newBench(t, doc, nil, telemetry.Discard())
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
 	conn, err := net.Dial("tcp", b.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -153,18 +155,18 @@
 	}
 }
 
-// brokenWriter is the connection of a caller that is gone.
-type brokenWriter struct{ http.ResponseWriter }
+// failingWriter is the connection of a caller that has disconnected.
+type failingWriter struct{ http.ResponseWriter }
 
-func (brokenWriter) Write([]byte) (int, error)        { return 0, io.ErrClosedPipe }
-func (brokenWriter) SetWriteDeadline(time.Time) error { return nil }
+func (failingWriter) Write([]byte) (int, error)        { return 0, io.ErrClosedPipe }
+func (failingWriter) SetWriteDeadline(time.Time) error { return nil }
 
-// A connection whose answer was read to its end belongs to the pool: that the
-// caller could not be told must not close it under another request.
+// A connection whose response was read to its end is back in the pool, possibly in
+// use by another request. A failed write to the caller must not close it.
 func TestCallerThatIsGoneLeavesTheTargetsConnectionAlone(t *testing.T) {
 	target := newScripted(t)
-	target.set(whole(okAnswer))
-	b := newBench(t, document(target.address), nil, telemetry.Discard())
+	target.set(fullAnswer(okAnswer))
+	b := newTestProxy(t, testDocument(target.address), nil, telemetry.Discard())
 	func() {
 		defer func() {
 			if r := recover(); r != http.ErrAbortHandler {
@@ -172,7 +174,7 @@
 			}
 		}()
 		r := httptest.NewRequest("GET", "/svc/a", nil)
-		b.handler.ServeHTTP(brokenWriter{httptest.NewRecorder()}, r)
+		b.handler.ServeHTTP(failingWriter{httptest.NewRecorder()}, r)
 	}()
 	dropped := b.handler.deps.Metrics.GetOrCreateCounter("masticturn_target_connections_dropped_total")
 	if n := dropped.Get(); n != 0 {
@@ -183,17 +185,17 @@
 	}
 }
 
-// Silence does not tell a slow target from a dead one: where the document says
-// so, a request is not given up before its time for a retry.
+// A target without a response may be slow or dead. With Retry.Patient the request is
+// not canceled for a retry before its deadline.
 func TestPatientDocumentWaitsForASlowTarget(t *testing.T) {
 	slow := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(700 * time.Millisecond)
 		_, _ = io.WriteString(w, "slow")
 	})
 	for _, patient := range []bool{false, true} {
-		doc := document(slow, slow)
+		doc := testDocument(slow, slow)
 		doc.Retry.Patient = patient
-		b := newBench(t, doc, nil, telemetry.Discard())
+		b := newTestProxy(t, doc, nil, telemetry.Discard())
 		_, _, err := b.call(t, "GET", "/svc/a", nil, edge.HeaderTimeoutMS, "1000")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/forward/split.go
+++ b/internal/forward/split.go
@@ -7,17 +7,17 @@
 	"masticturn/internal/config"
 )
 
-// splitter distributes requests of rules with several parts over their services by smooth weighted
-// round robin, which keeps each part within one request of its share.
+// splitter distributes the requests of rules with several services by smooth weighted round robin, which
+// keeps each service within one request of its share.
 type splitter struct {
 	mu    sync.Mutex
 	rules map[string]*splitState // by rule name
 }
 
-// splitState is the state of one rule.
+// splitState is the round-robin state of one rule.
 type splitState struct {
-	parts  []config.Part
-	credit []int
+	parts          []config.Part
+	currentWeights []int
 }
 
 func newSplitter() *splitter { return &splitter{rules: make(map[string]*splitState)} }
@@ -31,28 +31,28 @@
 	defer s.mu.Unlock()
 	state := s.rules[rule.Name]
 	if state == nil || !slices.Equal(state.parts, rule.Parts) {
-		state = &splitState{parts: rule.Parts, credit: make([]int, len(rule.Parts))}
+		state = &splitState{parts: rule.Parts, currentWeights: make([]int, len(rule.Parts))}
 		s.rules[rule.Name] = state
 	}
 	return snap.Service(state.next())
 }
 
-// next picks the part with the highest credit and charges it the sum of weights.
+// next picks the part with the highest current weight and reduces that by the sum of all weights.
 func (st *splitState) next() string {
 	best, total := 0, 0
 	for i, p := range st.parts {
-		st.credit[i] += p.Weight
+		st.currentWeights[i] += p.Weight
 		total += p.Weight
-		if st.credit[i] > st.credit[best] {
+		if st.currentWeights[i] > st.currentWeights[best] {
 			best = i
 		}
 	}
-	st.credit[best] -= total
+	st.currentWeights[best] -= total
 	return st.parts[best].Service
 }
 
-// keep forgets rules that are no longer configured.
-func (s *splitter) keep(hosts []config.Host) {
+// retain drops the state of rules that are no longer configured.
+func (s *splitter) retain(hosts []config.Host) {
 	known := make(map[string]bool)
 	for _, h := range hosts {
 		for _, r := range h.Rules {
--- a/internal/forward/upload_test.go
+++ b/internal/forward/upload_test.go
@@ -22,10 +22,10 @@
 	address := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		got, _ = io.Copy(io.Discard, r.Body)
 	})
-	b := newBench(t, document(address), nil, telemetry.Discard())
+	b := newTestProxy(t, testDocument(address), nil, telemetry.Discard())
 	for _, body := range []io.Reader{
 		strings.NewReader(strings.Repeat("x", uploadBytes)),
-		io.LimitReader(endless{}, uploadBytes), // chunked
+		io.LimitReader(endlessReader{}, uploadBytes), // chunked
 	} {
 		resp, _, err := b.call(t, "POST", "/svc/a", body)
 		if err != nil || resp.StatusCode != http.StatusOK || got != uploadBytes {
@@ -34,17 +34,17 @@
 	}
 }
 
-// endless is a body without an end.
-type endless struct{}
+// endlessReader is an endless body.
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
 
 func TestUploadToFailingTargetIsUnknownAndNotSentAgain(t *testing.T) {
 	target := newScripted(t)
-	b := newBench(t, document(target.address, target.address), nil, telemetry.Discard())
-	for _, method := range []string{"POST", "PUT"} { // PUT may be repeated, but its body is gone
+	b := newTestProxy(t, testDocument(target.address, target.address), nil, telemetry.Discard())
+	for _, method := range []string{"POST", "PUT"} { // PUT is repeatable, but its body was already read
 		target.set(script{readBytes: 100 << 10, reset: true})
-		resp, body, err := b.call(t, method, "/svc/a", io.LimitReader(endless{}, uploadBytes))
+		resp, body, err := b.call(t, method, "/svc/a", io.LimitReader(endlessReader{}, uploadBytes))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,7 +63,7 @@
 		w.Header().Set(edge.HeaderTargetNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	b := newBench(t, oneAttempt(address), nil, telemetry.Discard())
+	b := newTestProxy(t, singleAttemptDocument(address), nil, telemetry.Discard())
 	resp, body, err := b.call(t, "POST", "/svc/a", strings.NewReader(strings.Repeat("x", 1<<20)))
 	if err != nil {
 		t.Fatal(err)
@@ -75,17 +75,17 @@
 
 func TestTooLargeBodiesAreRefused(t *testing.T) {
 	address := newTarget(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
-	doc := document(address)
+	doc := testDocument(address)
 	doc.Limits.MaxBodyBytes = 1000
 	doc.Limits.ReplayBodyBytes = 100
-	b := newBench(t, doc, nil, telemetry.Discard())
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
 	tests := []struct {
 		name, want string
 		body       io.Reader
 	}{
 		{"known length", "not-run", strings.NewReader(strings.Repeat("x", 1001))},
-		{"chunked", "unknown", io.LimitReader(endless{}, 1001)},
-		{"just fitting", "answered", io.LimitReader(endless{}, 1000)},
+		{"chunked", "unknown", io.LimitReader(endlessReader{}, 1001)},
+		{"just fitting", "answered", io.LimitReader(endlessReader{}, 1000)},
 	}
 	for _, tt := range tests {
 		resp, body, err := b.call(t, "POST", "/svc/a", tt.body)
@@ -101,13 +101,13 @@
 	}
 }
 
-// A caller that stops in the middle of its body is given up, and holds no slot
-// while a small body is still coming.
+// A request whose body stops arriving is rejected. No slot is held while a small body
+// is read.
 func TestSlowCallerIsGivenUp(t *testing.T) {
 	address := newTarget(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
-	doc := document(address)
+	doc := testDocument(address)
 	doc.Limits.IdleTimeoutMS = 100
-	b := newBench(t, doc, nil, telemetry.Discard())
+	b := newTestProxy(t, doc, nil, telemetry.Discard())
 	for _, length := range []int{1000, 1 << 20} {
 		conn, err := net.Dial("tcp", b.Listener.Addr().String())
 		if err != nil {
@@ -128,12 +128,11 @@
 		}
 	}
 	if n := b.heldPermits(); b.admission.requests > 1 || n != 0 {
-		t.Errorf("%d slots were asked for, %d are held", b.admission.requests, n)
+		t.Errorf("%d slots were requested, %d are held", b.admission.requests, n)
 	}
 }
 
-// A target that stops reading and a caller that stops sending do not slow
-// down others.
+// Uploads that a target does not read do not delay other requests.
 func TestStuckUploadsHarmNoOthers(t *testing.T) {
 	release := make(chan struct{})
 	address := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -142,11 +141,11 @@
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 	})
-	b := newBench(t, document(address), nil, telemetry.Discard())
+	b := newTestProxy(t, testDocument(address), nil, telemetry.Discard())
 	var wg sync.WaitGroup
 	for range 10 {
 		wg.Go(func() {
-			if resp, _, err := b.call(t, "POST", "/svc/a", io.LimitReader(endless{}, uploadBytes)); err != nil || resp.StatusCode != http.StatusOK {
+			if resp, _, err := b.call(t, "POST", "/svc/a", io.LimitReader(endlessReader{}, uploadBytes)); err != nil || resp.StatusCode != http.StatusOK {
 				t.Error(resp, err)
 			}
 		})
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -8,80 +8,80 @@
 )
 
 var (
-	errTargetSilent = errors.New("the target was silent for too long")
-	errCallerSlow   = errors.New("the caller was too slow")
-	errDeadline     = errors.New("the deadline has passed")
+	errTargetTimeout = errors.New("the target was silent for too long")
+	errCallerSlow    = errors.New("the caller was too slow")
+	errDeadline      = errors.New("the deadline has passed")
 )
 
 // watchPhase is what a watchdog waits for.
 type watchPhase uint32
 
 const (
-	watchSend    watchPhase = iota // bytes of the caller's body
-	watchWait                      // the answer's first byte
-	watchReceive                   // bytes of the answer
+	watchSend    watchPhase = iota // a part of the caller's body to be sent
+	watchWait                      // the first byte of the response
+	watchReceive                   // further bytes of the response
 )
 
-// watchdog cancels an attempt without progress. Its single timer is reset by progress.
+// watchdog cancels an attempt that makes no progress. All phases share one timer, which progress resets.
 type watchdog struct {
-	cancel    context.CancelCauseFunc
-	firstByte time.Duration // longest wait from the request's end to the answer's first byte
-	idle      time.Duration // longest pause between bytes
-	// giveUp reports whether to give up if the first byte is late; else the attempt waits until the
-	// request's deadline.
-	giveUp func() bool
-	// callerWaits reports whether the attempt waits for the caller.
-	callerWaits func() bool
+	cancel           context.CancelCauseFunc
+	firstByteTimeout time.Duration // longest wait from the end of the request to the first byte of the response
+	idleTimeout      time.Duration // longest pause between bytes
+	// abandon reports whether to cancel the attempt if the first byte is late; otherwise it waits until
+	// the request's deadline.
+	abandon func() bool
+	// waitingForCaller reports whether the attempt is waiting for a part of the caller's body.
+	waitingForCaller func() bool
 
 	timer *time.Timer
 	phase atomic.Uint32
 }
 
-// start arms the timer; streamed: a body is still to be sent.
+// start starts the timer. streamed means that a body is still to be sent.
 func (w *watchdog) start(streamed bool) {
 	if streamed {
-		w.timer = time.AfterFunc(w.idle, w.fire)
+		w.timer = time.AfterFunc(w.idleTimeout, w.fire)
 		return
 	}
 	w.phase.Store(uint32(watchWait))
-	w.timer = time.AfterFunc(w.firstByte, w.fire)
+	w.timer = time.AfterFunc(w.firstByteTimeout, w.fire)
 }
 
 func (w *watchdog) fire() {
 	switch watchPhase(w.phase.Load()) {
 	case watchSend:
-		if w.callerWaits() {
+		if w.waitingForCaller() {
 			w.cancel(errCallerSlow)
 			return
 		}
-		w.cancel(errTargetSilent)
+		w.cancel(errTargetTimeout)
 	case watchWait:
-		if w.giveUp() {
-			w.cancel(errTargetSilent)
+		if w.abandon() {
+			w.cancel(errTargetTimeout)
 		}
 	case watchReceive:
-		w.cancel(errTargetSilent)
+		w.cancel(errTargetTimeout)
 	}
 }
 
-// sending records a part of the request's body.
-func (w *watchdog) sending() {
+// bodyProgress records that a part of the request's body was sent.
+func (w *watchdog) bodyProgress() {
 	if w.phase.Load() == uint32(watchSend) {
-		w.timer.Reset(w.idle)
+		w.timer.Reset(w.idleTimeout)
 	}
 }
 
-// sent records the end of the request.
-func (w *watchdog) sent() {
+// requestSent records that the request was sent completely.
+func (w *watchdog) requestSent() {
 	if w.phase.CompareAndSwap(uint32(watchSend), uint32(watchWait)) {
-		w.timer.Reset(w.firstByte)
+		w.timer.Reset(w.firstByteTimeout)
 	}
 }
 
-// receiving records the answer's head or a part of its body.
-func (w *watchdog) receiving() {
+// responseProgress records the arrival of the response head or a part of its body.
+func (w *watchdog) responseProgress() {
 	w.phase.Store(uint32(watchReceive))
-	w.timer.Reset(w.idle)
+	w.timer.Reset(w.idleTimeout)
 }
 
 func (w *watchdog) stop() { w.timer.Stop() }
