--- a/internal/command/quarantine_test.go
+++ b/internal/command/quarantine_test.go
@@ -20,7 +20,7 @@
 	objects := platformtest.NewStore()
 	server := httptest.NewServer(storestandin.NewHandler(objects))
 	defer server.Close()
-	name := digest.HeadOf("GET", "h", "/").Of(nil).String()
+	name := digest.HeadOf("GET", "h", "/").Sum(nil).String()
 	objects.Put(platform.KindQuarantine, name, []byte(`{"crashes":3,"since":"2026-12-03T08:00:00Z","written_by":"vm-1"}`))
 	settings := filepath.Join(t.TempDir(), "node.conf")
 	text := "nodeName=vm-1\nip=127.0.0.1\nzone=a1\nregion=a\nzones.a1=a\nlisten.front=127.0.0.1:1\nlisten.ready=127.0.0.1:2\n" +
@@ -44,7 +44,7 @@
 		t.Errorf("got %q", got)
 	}
 	run(ExitUsage, "lift", "--platform", "no digest")
-	run(ExitFailed, "lift", "--platform", digest.HeadOf("GET", "h", "/other").Of(nil).String())
+	run(ExitFailed, "lift", "--platform", digest.HeadOf("GET", "h", "/other").Sum(nil).String())
 	run(ExitOK, "lift", "--platform", name)
 	if list, _, err := objects.List(t.Context(), platform.KindQuarantine); err != nil || len(list) != 0 {
 		t.Errorf("left: %v, %v", list, err)
--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -87,8 +87,8 @@
 	return d
 }
 
-// Required reports whether requests need a key, which is the case if any customer exists.
-func (d *Directory) Required() bool { return d != nil && len(d.customers) > 0 }
+// KeysRequired reports whether requests need a key, which is the case if any customer exists.
+func (d *Directory) KeysRequired() bool { return d != nil && len(d.customers) > 0 }
 
 // Limited reports whether any customer has a rate limit.
 func (d *Directory) Limited() bool { return d != nil && d.limited }
--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -30,11 +30,11 @@
 			t.Errorf("key %q belongs to %q, want %q", key, got, want)
 		}
 	}
-	if d.ByName("b") == nil || d.ByName("c") != nil || !d.Required() || !d.Limited() {
+	if d.ByName("b") == nil || d.ByName("c") != nil || !d.KeysRequired() || !d.Limited() {
 		t.Error("look-ups by name or the flags of the directory are wrong")
 	}
 	var nilDirectory *Directory
-	if nilDirectory.Required() || nilDirectory.Limited() || nilDirectory.ByName("a") != nil || len(nilDirectory.All()) > 0 {
+	if nilDirectory.KeysRequired() || nilDirectory.Limited() || nilDirectory.ByName("a") != nil || len(nilDirectory.All()) > 0 {
 		t.Error("a nil directory has customers")
 	}
 }
@@ -106,9 +106,9 @@
 		var age, announcedServing atomic.Int64
 		announcedServing.Store(1)
 		g := NewGuard(GuardDeps{
-			Revocation: bound,
-			Age:        func() time.Duration { return time.Duration(age.Load()) },
-			Keyed:      func() bool { return true },
+			MaxRevocationDelay: bound,
+			Age:                func() time.Duration { return time.Duration(age.Load()) },
+			HasCustomers:       func() bool { return true },
 			Announce: func(serves bool) {
 				announcedServing.Store(0)
 				if serves {
@@ -126,8 +126,8 @@
 			serves bool
 		}{{0, true}, {bound / 2, true}, {bound, false}, {time.Hour, false}, {time.Second, true}} {
 			age.Store(int64(step.age))
-			if g.Current() != step.serves {
-				t.Errorf("document age %v: Current() = %t", step.age, g.Current())
+			if g.KeysUsable() != step.serves {
+				t.Errorf("document age %v: KeysUsable() = %t", step.age, g.KeysUsable())
 			}
 			time.Sleep(2 * guardInterval)
 			if (announcedServing.Load() == 1) != step.serves {
@@ -140,7 +140,7 @@
 
 func TestGuardWithoutBound(t *testing.T) {
 	g := NewGuard(GuardDeps{Age: func() time.Duration { return time.Hour }})
-	if !g.Current() {
-		t.Error("keys are refused although Revocation is 0")
+	if !g.KeysUsable() {
+		t.Error("keys are refused although MaxRevocationDelay is 0")
 	}
 }
--- a/internal/customer/guard.go
+++ b/internal/customer/guard.go
@@ -25,13 +25,13 @@
 
 // GuardDeps are the dependencies of a Guard.
 type GuardDeps struct {
-	// Revocation is the time within which every VM must refuse a removed key; 0: no bound.
-	Revocation time.Duration
+	// MaxRevocationDelay is the time within which every VM must refuse a removed key; 0: no bound.
+	MaxRevocationDelay time.Duration
 	// Age returns an upper bound on the age of this VM's document, including time during which
 	// the VM was suspended.
 	Age func() time.Duration
-	// Keyed reports whether the document has customers.
-	Keyed func() bool
+	// HasCustomers reports whether the document has customers.
+	HasCustomers func() bool
 	// Announce tells the other VMs whether this one serves requests with keys.
 	Announce func(serves bool)
 	Logger   *telemetry.Logger
@@ -52,15 +52,15 @@
 
 // NewGuard returns a Guard. If there is a bound, it registers the gauge of the document's age.
 func NewGuard(d GuardDeps) *Guard {
-	if d.Revocation > 0 {
+	if d.MaxRevocationDelay > 0 {
 		d.Metrics.GetOrCreateGauge("masticturn_document_age_seconds", func() float64 { return d.Age().Seconds() })
 	}
-	return &Guard{deps: d, maxAge: d.Revocation - guardMargin, done: make(chan struct{})}
+	return &Guard{deps: d, maxAge: d.MaxRevocationDelay - guardMargin, done: make(chan struct{})}
 }
 
-// Current reports whether keys may be used. For each request, it must be called after the request
+// KeysUsable reports whether keys may be used. For each request, it must be called after the request
 // was received and before the document by which the request is judged is loaded.
-func (g *Guard) Current() bool { return g.deps.Revocation == 0 || g.deps.Age() < g.maxAge }
+func (g *Guard) KeysUsable() bool { return g.deps.MaxRevocationDelay == 0 || g.deps.Age() < g.maxAge }
 
 // Provision implements kernel.Service.
 func (g *Guard) Provision(*kernel.Kernel) error { return nil }
@@ -74,14 +74,14 @@
 
 func (g *Guard) run(ctx context.Context) {
 	defer close(g.done)
-	if g.deps.Revocation > 0 {
+	if g.deps.MaxRevocationDelay > 0 {
 		wait.Every(ctx, guardInterval, g.check)
 	}
 }
 
 // check announces and logs a change of state. Without customers no key is refused.
 func (g *Guard) check() {
-	refusing := g.deps.Keyed() && !g.Current()
+	refusing := g.deps.HasCustomers() && !g.KeysUsable()
 	if g.announcedRefusing.Swap(refusing) == refusing {
 		return
 	}
--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -165,24 +165,24 @@
 
 func (d *Daemon) newEntry(w *wiring) (kernel.Service, error) {
 	return entry.NewService(entry.Deps{
-		Names:   d.opts.Hosted.Names,
-		Ready:   d.listeners.ready,
-		Lookup:  d.listeners.lookup,
-		Members: w.members,
-		Places:  d.settings.Places,
-		Serving: func() (bool, string) { return w.discovery.View() != nil, "no document is in force yet" },
-		MaxAge:  lookupAge(d.settings.Bounds),
-		Logger:  d.opts.Logger,
+		Names:        d.opts.Hosted.Names,
+		Ready:        d.listeners.ready,
+		Lookup:       d.listeners.lookup,
+		Members:      w.members,
+		RegionByZone: d.settings.Places,
+		Serving:      func() (bool, string) { return w.discovery.View() != nil, "no document is in force yet" },
+		MaxAge:       lookupAge(d.settings.Bounds),
+		Logger:       d.opts.Logger,
 	}), nil
 }
 
 func (d *Daemon) newKeyGuard(w *wiring) (kernel.Service, error) {
 	return customer.NewGuard(customer.GuardDeps{
-		Revocation: d.settings.Bounds.KeyRevocation,
-		Age:        w.discovery.DocumentAge,
-		Keyed: func() bool {
+		MaxRevocationDelay: d.settings.Bounds.KeyRevocation,
+		Age:                w.discovery.DocumentAge,
+		HasCustomers: func() bool {
 			snap := w.discovery.Current()
-			return snap != nil && snap.Customers.Required()
+			return snap != nil && snap.Customers.KeysRequired()
 		},
 		Announce: func(serves bool) { w.members.SetRefusesKeys(!serves) },
 		Logger:   d.opts.Logger,
--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -15,11 +15,11 @@
 // Size is the length of a Digest in bytes.
 const Size = 16
 
-// BodyMost is the maximum number of body bytes that a digest covers. Bytes beyond
-// it are ignored.
-const BodyMost = 16 << 20
+// MaxBodyBytes is the maximum number of body bytes that a digest covers. Further bytes
+// are ignored.
+const MaxBodyBytes = 16 << 20
 
-// PrefixBytes is the number of body bytes that Body.Lead covers.
+// PrefixBytes is the number of body bytes that Hasher.PrefixSum covers.
 const PrefixBytes = 4 << 10
 
 // Digest identifies a request. It is a SHA-256 sum truncated to Size bytes.
@@ -98,47 +98,47 @@
 	return Digest(sum256[:Size])
 }
 
-// Of returns the digest of the request with the given body.
-func (h Head) Of(body []byte) Digest {
+// Sum returns the digest of the request with the given body.
+func (h Head) Sum(body []byte) Digest {
 	sum := h.newHash(domainFull)
-	_, _ = sum.Write(body[:min(len(body), BodyMost)])
+	_, _ = sum.Write(body[:min(len(body), MaxBodyBytes)])
 	return truncatedSum(sum)
 }
 
-// Body computes a request's digest while its body is streamed. It is an io.Writer
+// Hasher computes a request's digest while its body is streamed. It is an io.Writer
 // and is not safe for concurrent use.
-type Body struct {
+type Hasher struct {
 	full   hash.Hash
 	prefix hash.Hash
 	n      int64
 }
 
-// Body returns a hasher for a request whose body has not been read yet.
-func (h Head) Body() *Body {
-	return &Body{full: h.newHash(domainFull), prefix: h.newHash(domainPrefix)}
+// NewHasher returns a hasher for a request whose body has not been read yet.
+func (h Head) NewHasher() *Hasher {
+	return &Hasher{full: h.newHash(domainFull), prefix: h.newHash(domainPrefix)}
 }
 
 // Write adds the next bytes of the body. It never returns an error.
-func (b *Body) Write(p []byte) (int, error) {
-	if left := PrefixBytes - b.n; left > 0 {
-		_, _ = b.prefix.Write(p[:min(int64(len(p)), left)])
+func (h *Hasher) Write(p []byte) (int, error) {
+	if left := PrefixBytes - h.n; left > 0 {
+		_, _ = h.prefix.Write(p[:min(int64(len(p)), left)])
 	}
-	if left := BodyMost - b.n; left > 0 {
-		_, _ = b.full.Write(p[:min(int64(len(p)), left)])
+	if left := MaxBodyBytes - h.n; left > 0 {
+		_, _ = h.full.Write(p[:min(int64(len(p)), left)])
 	}
-	b.n += int64(len(p))
+	h.n += int64(len(p))
 	return len(p), nil
 }
 
-// Whole returns the digest of the request, taking the bytes written so far as its
+// Sum returns the digest of the request, taking the bytes written so far as its
 // entire body.
-func (b *Body) Whole() Digest { return truncatedSum(b.full) }
+func (h *Hasher) Sum() Digest { return truncatedSum(h.full) }
 
-// Lead returns the digest of the request's head and the first PrefixBytes of its
-// body. ok is false if fewer bytes have been written.
-func (b *Body) Lead() (d Digest, ok bool) {
-	if b.n < PrefixBytes {
+// PrefixSum returns the digest of the request's head and the first PrefixBytes of
+// its body. ok is false if fewer bytes have been written.
+func (h *Hasher) PrefixSum() (d Digest, ok bool) {
+	if h.n < PrefixBytes {
 		return Digest{}, false
 	}
-	return truncatedSum(b.prefix), true
+	return truncatedSum(h.prefix), true
 }
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -11,7 +11,7 @@
 }
 
 func (r request) digest() Digest {
-	return HeadOf(r.method, r.host, r.uri, r.caller).Of([]byte(r.body))
+	return HeadOf(r.method, r.host, r.uri, r.caller).Sum([]byte(r.body))
 }
 
 func TestDigestDependsOnEveryPart(t *testing.T) {
@@ -48,20 +48,20 @@
 		for i := range body {
 			body[i] = byte(random.Uint32())
 		}
-		streamed := head.Body()
+		streamed := head.NewHasher()
 		for rest := body; len(rest) > 0; {
 			n := 1 + random.IntN(len(rest))
 			_, _ = streamed.Write(rest[:n])
 			rest = rest[n:]
 		}
-		if streamed.Whole() != head.Of(body) {
-			t.Errorf("%d bytes: streamed digest differs from Of", length)
+		if streamed.Sum() != head.Sum(body) {
+			t.Errorf("%d bytes: streamed digest differs from Head.Sum", length)
 		}
-		lead, ok := streamed.Lead()
+		prefix, ok := streamed.PrefixSum()
 		if ok != (length >= PrefixBytes) {
-			t.Errorf("%d bytes: Lead returned ok = %v", length, ok)
+			t.Errorf("%d bytes: PrefixSum returned ok = %v", length, ok)
 		}
-		if ok && lead == head.Of(body[:PrefixBytes]) {
+		if ok && prefix == head.Sum(body[:PrefixBytes]) {
 			t.Errorf("%d bytes: digest of a prefix equals that of a complete body", length)
 		}
 	}
@@ -69,16 +69,16 @@
 
 func TestDigestIgnoresBodyBeyondLimit(t *testing.T) {
 	head := HeadOf("POST", "one.example", "/p/")
-	long := bytes.Repeat([]byte("x"), BodyMost+1)
-	streamed := head.Body()
+	long := bytes.Repeat([]byte("x"), MaxBodyBytes+1)
+	streamed := head.NewHasher()
 	_, _ = streamed.Write(long)
-	if head.Of(long) != head.Of(long[:BodyMost]) || streamed.Whole() != head.Of(long) {
-		t.Error("digest depends on bytes beyond BodyMost")
+	if head.Sum(long) != head.Sum(long[:MaxBodyBytes]) || streamed.Sum() != head.Sum(long) {
+		t.Error("digest depends on bytes beyond MaxBodyBytes")
 	}
 }
 
 func TestParse(t *testing.T) {
-	d := HeadOf("GET", "h", "/").Of(nil)
+	d := HeadOf("GET", "h", "/").Sum(nil)
 	if got, err := Parse(d.String()); err != nil || got != d {
 		t.Errorf("got %v, %v", got, err)
 	}
@@ -92,6 +92,6 @@
 func BenchmarkSmallRequest(b *testing.B) {
 	body := make([]byte, 1000)
 	for b.Loop() {
-		HeadOf("POST", "one.example", "/p/a?q=1", "").Of(body)
+		HeadOf("POST", "one.example", "/p/a?q=1", "").Sum(body)
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -22,23 +22,23 @@
 
 // Names holds the paths, query parameters and response format that callers and the platform use.
 type Names struct {
-	ReadyPath   string
-	LookupPath  string
-	RegionQuery string
-	ZoneQuery   string
-	Answer      func(addresses []string, maxAge time.Duration) any // response body, encoded as JSON
+	ReadyPath    string
+	LookupPath   string
+	RegionQuery  string
+	ZoneQuery    string
+	ResponseBody func(addresses []string, maxAge time.Duration) any // response body, encoded as JSON
 }
 
 // Deps are the dependencies of a Service.
 type Deps struct {
-	Names   Names
-	Ready   net.Listener
-	Lookup  net.Listener // nil: this VM serves no look-ups
-	Members membership.Source
-	Places  map[string]string     // region by availability zone
-	Serving func() (bool, string) // whether this VM can serve callers; if not, the reason
-	MaxAge  time.Duration         // how long callers may cache a look-up response
-	Logger  *telemetry.Logger
+	Names        Names
+	Ready        net.Listener
+	Lookup       net.Listener // nil: this VM serves no look-ups
+	Members      membership.Source
+	RegionByZone map[string]string     // region by availability zone
+	Serving      func() (bool, string) // whether this VM can serve callers; if not, the reason
+	MaxAge       time.Duration         // how long callers may cache a look-up response
+	Logger       *telemetry.Logger
 }
 
 // Service serves HTTP on the readiness and look-up listeners.
@@ -117,7 +117,7 @@
 	q := r.URL.Query()
 	zone, region := q.Get(s.deps.Names.ZoneQuery), q.Get(s.deps.Names.RegionQuery)
 	if region == "" {
-		region = s.deps.Places[zone]
+		region = s.deps.RegionByZone[zone]
 	}
 	addresses := Choose(s.deps.Members.View(), region)
 	if len(addresses) == 0 {
@@ -125,7 +125,7 @@
 		http.Error(w, "no VM is known to serve", http.StatusServiceUnavailable)
 		return
 	}
-	raw, err := json.Marshal(s.deps.Names.Answer(addresses, s.deps.MaxAge))
+	raw, err := json.Marshal(s.deps.Names.ResponseBody(addresses, s.deps.MaxAge))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -127,16 +127,16 @@
 	s := NewService(Deps{
 		Names: Names{
 			ReadyPath: "/r", LookupPath: "/l", RegionQuery: "in", ZoneQuery: "near",
-			Answer: func(addresses []string, maxAge time.Duration) any {
+			ResponseBody: func(addresses []string, maxAge time.Duration) any {
 				return map[string]any{"to": addresses, "for": maxAge.Seconds()}
 			},
 		},
 		Ready: ready, Lookup: lookup,
-		Members: fixedMembers{&membership.View{Members: []membership.Member{member("a1", "a", membership.Alive, 1)}}},
-		Places:  map[string]string{"a-1": "a"},
-		Serving: func() (bool, string) { return serving, "not yet" },
-		MaxAge:  2 * time.Second,
-		Logger:  telemetry.Discard(),
+		Members:      fixedMembers{&membership.View{Members: []membership.Member{member("a1", "a", membership.Alive, 1)}}},
+		RegionByZone: map[string]string{"a-1": "a"},
+		Serving:      func() (bool, string) { return serving, "not yet" },
+		MaxAge:       2 * time.Second,
+		Logger:       telemetry.Discard(),
 	})
 	if err := s.Start(context.Background()); err != nil {
 		t.Fatal(err)
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -32,10 +32,10 @@
 	body  io.Reader
 	rc    *http.ResponseController
 	clock kernel.Clock
-	idle  time.Duration // longest pause between bytes
-	left  int64         // bytes that may still come
-	watch *watchdog     // nil while no attempt runs
-	sum   *digest.Body  // of the request, up to what was read
+	idle  time.Duration  // longest pause between bytes
+	left  int64          // bytes that may still come
+	watch *watchdog      // nil while no attempt runs
+	sum   *digest.Hasher // of the request, up to what was read
 
 	whole   atomic.Pointer[digest.Digest] // nil until the body's end was read
 	lead    atomic.Pointer[digest.Digest] // nil until the body's beginning was read
@@ -62,7 +62,7 @@
 		return 0, u.fail(errBodyTooLarge)
 	case err == io.EOF:
 		u.ended = true
-		whole := u.sum.Whole()
+		whole := u.sum.Sum()
 		u.whole.Store(&whole)
 		if u.watch != nil {
 			u.watch.sent()
@@ -81,7 +81,7 @@
 	if u.lead.Load() != nil {
 		return
 	}
-	if lead, ok := u.sum.Lead(); ok {
+	if lead, ok := u.sum.PrefixSum(); ok {
 		u.lead.Store(&lead)
 	}
 }
--- a/internal/forward/brokenrun_test.go
+++ b/internal/forward/brokenrun_test.go
@@ -66,7 +66,7 @@
 	}
 	lines := awaitBroken(t, &log, 2)
 	_, port, _ := net.SplitHostPort(strings.TrimPrefix(b.URL, "http://"))
-	want := digest.HeadOf("POST", "127.0.0.1:"+port, "/svc/a?q=1", "", "").Of([]byte("body")).String()
+	want := digest.HeadOf("POST", "127.0.0.1:"+port, "/svc/a?q=1", "", "").Sum([]byte("body")).String()
 	for i, state := range []targetState{targetEnded, targetListening} {
 		if got := lines[i]; got.Target != string(state) || got.Digest != want || got.Peer != "target"+string(rune('a'+i)) {
 			t.Errorf("line %d: %+v, want state %s and digest %s", i, got, state, want)
--- a/internal/forward/customer.go
+++ b/internal/forward/customer.go
@@ -15,13 +15,13 @@
 
 // keysAreCurrent reports whether keys may be used. It must be called before the document is loaded.
 func (h *Handler) keysAreCurrent() bool {
-	return h.deps.KeyGuard == nil || h.deps.KeyGuard.Current()
+	return h.deps.KeyGuard == nil || h.deps.KeyGuard.KeysUsable()
 }
 
 // identify finds the customer of the request, whose class and regions bind besides the rule's.
 func (x *exchange) identify() *outcome.Error {
 	directory := x.snap.Customers
-	if !directory.Required() || x.match.Rule == nil || x.match.Rule.Public {
+	if !directory.KeysRequired() || x.match.Rule == nil || x.match.Rule.Public {
 		return nil
 	}
 	if !x.keysCurrent {
@@ -55,7 +55,7 @@
 		return nil
 	}
 	err := refuse(outcome.StepLimit, http.StatusTooManyRequests, "the customer's rate limit is reached")
-	if !refusal.Over {
+	if !refusal.OverLimit {
 		err = refuse(outcome.StepLimit, http.StatusServiceUnavailable, "the customer's rate limit can't be checked here now")
 	}
 	err.RetryAfter = refusal.RetryAfter
--- a/internal/forward/customer_test.go
+++ b/internal/forward/customer_test.go
@@ -16,7 +16,7 @@
 // fixedGuard says whether keys may be used.
 type fixedGuard bool
 
-func (g fixedGuard) Current() bool { return bool(g) }
+func (g fixedGuard) KeysUsable() bool { return bool(g) }
 
 // fixedLimiter refuses all requests, or none.
 type fixedLimiter struct{ refusal *ratelimit.Refusal }
@@ -171,7 +171,7 @@
 		status  int
 		after   string
 	}{
-		{&ratelimit.Refusal{Over: true, RetryAfter: 250 * time.Millisecond}, 429, "0.250"},
+		{&ratelimit.Refusal{OverLimit: true, RetryAfter: 250 * time.Millisecond}, 429, "0.250"},
 		{&ratelimit.Refusal{RetryAfter: 200 * time.Millisecond}, 503, "0.200"},
 		{nil, 200, ""},
 	} {
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -214,7 +214,7 @@
 	x.head = x.headDigest()
 	length := x.r.ContentLength
 	if length == 0 {
-		x.whole = x.head.Of(nil)
+		x.whole = x.head.Sum(nil)
 		return nil
 	}
 	limits := &x.snap.Document.Limits
@@ -224,7 +224,7 @@
 		clock: x.h.deps.Clock,
 		idle:  limits.IdleTimeoutMS.Duration(),
 		left:  x.maxBody(),
-		sum:   x.head.Body(),
+		sum:   x.head.NewHasher(),
 	}
 	if length < 0 || length > limits.ReplayBodyBytes || len(x.r.Trailer) > 0 {
 		return nil
@@ -234,7 +234,7 @@
 		return refuse(outcome.StepParse, http.StatusRequestTimeout, "the body could not be read")
 	}
 	x.body, x.stream = body, nil
-	x.whole = x.head.Of(body)
+	x.whole = x.head.Sum(body)
 	return nil
 }
 
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -38,7 +38,7 @@
 
 // KeyGuard reports whether API keys may be used now.
 type KeyGuard interface {
-	Current() bool
+	KeysUsable() bool
 }
 
 // Deps is what a Handler needs.
--- a/internal/forward/screen.go
+++ b/internal/forward/screen.go
@@ -138,7 +138,7 @@
 // counts for its digest.
 func (x *exchange) readAhead() *outcome.Error {
 	var read bytes.Buffer
-	for read.Len() < digest.BodyMost {
+	for read.Len() < digest.MaxBodyBytes {
 		if !x.h.bodies.reserve(readAheadPiece) {
 			err := refuse(outcome.StepScreen, http.StatusServiceUnavailable, "too many bodies are read ahead")
 			err.RetryAfter = readAheadRetryAfter
@@ -154,7 +154,7 @@
 			return x.bodyFailed(err)
 		}
 	}
-	x.whole = x.stream.sum.Whole()
+	x.whole = x.stream.sum.Sum()
 	x.stream = x.stream.replay(read.Bytes())
 	return nil
 }
--- a/internal/forward/screen_test.go
+++ b/internal/forward/screen_test.go
@@ -92,7 +92,7 @@
 	s.held = make(map[digest.Digest]bool)
 	for _, length := range []int{10, 200_000, 3 << 20} {
 		bad, good := strings.Repeat("x", length), strings.Repeat("x", length-1)+"y"
-		s.held[head.Of([]byte(bad))] = true
+		s.held[head.Sum([]byte(bad))] = true
 		for name, body := range map[string]func(string) io.Reader{
 			"with a length": func(text string) io.Reader { return strings.NewReader(text) },
 			"in chunks":     func(text string) io.Reader { return pieces{strings.NewReader(text)} },
@@ -205,9 +205,9 @@
 		t.Fatal(resp, err)
 	}
 	_ = body.Close()
-	want := b.headOf("POST", "/svc/a").Body()
+	want := b.headOf("POST", "/svc/a").NewHasher()
 	_, _ = want.Write(beginning)
-	lead, _ := want.Lead()
+	lead, _ := want.PrefixSum()
 	for range 200 {
 		screen.mu.Lock()
 		n := len(screen.crashed)
--- a/internal/placement/emulation/troubles.go
+++ b/internal/placement/emulation/troubles.go
@@ -60,7 +60,7 @@
 	if q.crashing != nil {
 		number = q.crashing.number
 	}
-	return digest.HeadOf("GET", "", fmt.Sprint(number)).Of(nil)
+	return digest.HeadOf("GET", "", fmt.Sprint(number)).Sum(nil)
 }
 
 // mayRun applies the VM's ledger. A suspect request runs once at a time.
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -8,7 +8,7 @@
 	"masticturn/internal/digest"
 )
 
-func digestOf(name string) digest.Digest { return digest.HeadOf("GET", "h", name).Of(nil) }
+func digestOf(name string) digest.Digest { return digest.HeadOf("GET", "h", name).Sum(nil) }
 
 var epoch = time.Unix(1_000_000, 0)
 
--- a/internal/ratelimit/take.go
+++ b/internal/ratelimit/take.go
@@ -35,7 +35,7 @@
 
 // Refusal describes why a request was refused and when to retry it.
 type Refusal struct {
-	Over       bool // the limit is reached; otherwise, its state is not known at this VM
+	OverLimit  bool // the limit is reached; otherwise, its state is not known at this VM
 	RetryAfter time.Duration
 }
 
@@ -56,7 +56,7 @@
 	case resultTaken:
 		return nil
 	case resultOverLimit:
-		return &Refusal{Over: true, RetryAfter: max(wait, time.Millisecond)}
+		return &Refusal{OverLimit: true, RetryAfter: max(wait, time.Millisecond)}
 	}
 	return &Refusal{RetryAfter: s.retryAfterUnknown()}
 }
