--- a/internal/forward/customer.go
+++ b/internal/forward/customer.go
@@ -16,14 +16,14 @@
 
 // keysAreCurrent reports whether API keys are accepted. It must be called before the document is loaded.
 func (h *Handler) keysAreCurrent() bool {
-	return h.deps.KeyGuard == nil || h.deps.KeyGuard.Current()
+	return h.deps.KeyGuard == nil || h.deps.KeyGuard.KeysUsable()
 }
 
 // identifyCustomer finds the customer of the request by its API key and applies the customer's class
 // and regions to the match.
 func (x *exchange) identifyCustomer() *outcome.Error {
 	directory := x.snap.Customers
-	if !directory.Required() || x.match.Rule == nil || x.match.Rule.Public {
+	if !directory.KeysRequired() || x.match.Rule == nil || x.match.Rule.Public {
 		return nil
 	}
 	if !x.keysCurrent {
--- a/internal/forward/customer_test.go
+++ b/internal/forward/customer_test.go
@@ -173,7 +173,7 @@
 		status  int
 		after   string
 	}{
-		{&ratelimit.Refusal{Over: true, RetryAfter: 250 * time.Millisecond}, 429, "0.250"},
+		{&ratelimit.Refusal{OverLimit: true, RetryAfter: 250 * time.Millisecond}, 429, "0.250"},
 		{&ratelimit.Refusal{RetryAfter: 200 * time.Millisecond}, 503, "0.200"},
 		{nil, 200, ""},
 	} {
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -38,7 +38,7 @@
 
 // KeyGuard reports whether the API keys in the document are recent enough to be accepted.
 type KeyGuard interface {
-	Current() bool
+	KeysUsable() bool
 }
 
 // Deps holds the dependencies of a Handler.
