--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -32,10 +32,10 @@
 	body        io.Reader
 	rc          *http.ResponseController
 	clock       kernel.Clock
-	idleTimeout time.Duration // longest pause between bytes
-	remaining   int64         // bytes until the size limit
-	watchdog    *watchdog     // nil while no attempt runs
-	hasher      *digest.Body  // digest of the request up to what was read
+	idleTimeout time.Duration  // longest pause between bytes
+	remaining   int64          // bytes until the size limit
+	watchdog    *watchdog      // nil while no attempt runs
+	hasher      *digest.Hasher // digest of the request up to what was read
 
 	requestDigest    atomic.Pointer[digest.Digest] // nil until the end of the body was read
 	leadDigest       atomic.Pointer[digest.Digest] // digest of the head and the beginning of the body; nil until that was read
@@ -62,7 +62,7 @@
 		return 0, u.fail(errBodyTooLarge)
 	case err == io.EOF:
 		u.eof = true
-		whole := u.hasher.Whole()
+		whole := u.hasher.Sum()
 		u.requestDigest.Store(&whole)
 		if u.watchdog != nil {
 			u.watchdog.requestSent()
@@ -81,7 +81,7 @@
 	if u.leadDigest.Load() != nil {
 		return
 	}
-	if lead, ok := u.hasher.Lead(); ok {
+	if lead, ok := u.hasher.PrefixSum(); ok {
 		u.leadDigest.Store(&lead)
 	}
 }
--- a/internal/forward/customer.go
+++ b/internal/forward/customer.go
@@ -57,7 +57,7 @@
 		return nil
 	}
 	err := notRunError(outcome.StepLimit, http.StatusTooManyRequests, "the customer's rate limit is reached")
-	if !refusal.Over {
+	if !refusal.OverLimit {
 		err = notRunError(outcome.StepLimit, http.StatusServiceUnavailable, "the customer's rate limit can't be checked here now")
 	}
 	err.RetryAfter = refusal.RetryAfter
--- a/internal/forward/customer_test.go
+++ b/internal/forward/customer_test.go
@@ -16,7 +16,7 @@
 // fakeKeyGuard is a KeyGuard with a fixed answer.
 type fakeKeyGuard bool
 
-func (g fakeKeyGuard) Current() bool { return bool(g) }
+func (g fakeKeyGuard) KeysUsable() bool { return bool(g) }
 
 // fakeLimiter returns the same refusal for all requests; nil allows them.
 type fakeLimiter struct{ refusal *ratelimit.Refusal }
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -214,7 +214,7 @@
 	x.headDigest = x.computeHeadDigest()
 	length := x.r.ContentLength
 	if length == 0 {
-		x.requestDigest = x.headDigest.Of(nil)
+		x.requestDigest = x.headDigest.Sum(nil)
 		return nil
 	}
 	limits := &x.snap.Document.Limits
@@ -224,7 +224,7 @@
 		clock:       x.h.deps.Clock,
 		idleTimeout: limits.IdleTimeoutMS.Duration(),
 		remaining:   x.maxBody(),
-		hasher:      x.headDigest.Body(),
+		hasher:      x.headDigest.NewHasher(),
 	}
 	if length < 0 || length > limits.ReplayBodyBytes || len(x.r.Trailer) > 0 {
 		return nil
@@ -234,7 +234,7 @@
 		return notRunError(outcome.StepParse, http.StatusRequestTimeout, "the body could not be read")
 	}
 	x.body, x.stream = body, nil
-	x.requestDigest = x.headDigest.Of(body)
+	x.requestDigest = x.headDigest.Sum(body)
 	return nil
 }
 
--- a/internal/forward/screen.go
+++ b/internal/forward/screen.go
@@ -140,7 +140,7 @@
 // for the digest.
 func (x *exchange) readAhead() *outcome.Error {
 	var prefix bytes.Buffer
-	for prefix.Len() < digest.BodyMost {
+	for prefix.Len() < digest.MaxBodyBytes {
 		if !x.h.readAheadMemory.reserve(readAheadChunkBytes) {
 			err := notRunError(outcome.StepScreen, http.StatusServiceUnavailable, "too many bodies are read ahead")
 			err.RetryAfter = readAheadRetryAfter
@@ -156,7 +156,7 @@
 			return x.bodyReadError(err)
 		}
 	}
-	x.requestDigest = x.stream.hasher.Whole()
+	x.requestDigest = x.stream.hasher.Sum()
 	x.stream = x.stream.withPrefix(prefix.Bytes())
 	return nil
 }
