--- a/internal/kernel/boot.go
+++ b/internal/kernel/boot.go
@@ -6,19 +6,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// BootClock measures time that includes suspensions of the machine, which the monotonic clock
-// leaves out.
+// BootClock measures elapsed time including periods in which the VM was suspended. The monotonic
+// clock does not count those.
 type BootClock interface {
-	// SinceBoot returns the time since an arbitrary moment in the past. It never decreases.
+	// SinceBoot returns the time elapsed since an arbitrary fixed moment. It never decreases.
 	SinceBoot() time.Duration
 }
 
-// SystemBootClock is the machine's boot clock.
+// SystemBootClock reads the operating system's CLOCK_BOOTTIME.
 type SystemBootClock struct{ fallback MonotonicBootClock }
 
 var _ BootClock = (*SystemBootClock)(nil)
 
-// NewSystemBootClock returns the machine's boot clock.
+// NewSystemBootClock returns the operating system's boot clock.
 func NewSystemBootClock() *SystemBootClock {
 	return &SystemBootClock{fallback: *NewMonotonicBootClock()}
 }
@@ -27,18 +27,18 @@
 func (c *SystemBootClock) SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return c.fallback.SinceBoot() // all Linux kernels since 2.6.39 have the clock
+		return c.fallback.SinceBoot() // Linux before 2.6.39 has no CLOCK_BOOTTIME
 	}
 	return time.Duration(t.Nano())
 }
 
-// MonotonicBootClock is a BootClock for machines that are never suspended (faked under
-// testing/synctest).
+// MonotonicBootClock is a BootClock based on the monotonic clock, for VMs that are never suspended
+// and for tests under testing/synctest, which fakes that clock.
 type MonotonicBootClock struct{ start time.Time }
 
 var _ BootClock = (*MonotonicBootClock)(nil)
 
-// NewMonotonicBootClock returns a clock that starts now.
+// NewMonotonicBootClock returns a clock that reads one second now.
 func NewMonotonicBootClock() *MonotonicBootClock {
 	return &MonotonicBootClock{start: time.Now().Add(-time.Second)}
 }
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,6 +1,6 @@
-// Package kernel is the micro-kernel of the daemon: services register under a
-// dotted name, find each other by name, and run through one lifecycle in
-// dependency order.
+// Package kernel is the daemon's service container. Modules are registered
+// under dotted names; their services look each other up by name and are
+// started and stopped in dependency order.
 package kernel
 
 import (
@@ -13,43 +13,44 @@
 	"github.com/gravitational/trace"
 )
 
-// Service is one part of the daemon. The kernel calls Provision and Start in
-// dependency order, Drain and Stop in the reverse order.
+// Service is a component of the daemon. The kernel calls Provision and Start in
+// dependency order, and Drain and Stop in reverse order.
 type Service interface {
-	// Provision resolves dependencies and validates; it starts nothing.
+	// Provision resolves dependencies and validates the configuration. It must
+	// not start anything.
 	Provision(k *Kernel) error
-	// Start opens listeners and starts goroutines; it returns when ready to
-	// be used by dependents. The context is done once the kernel has stopped
-	// all services.
+	// Start opens listeners and starts goroutines. It returns when dependent
+	// services may use this one. The context is canceled after the kernel has
+	// stopped all services.
 	Start(ctx context.Context) error
-	// Drain finishes work in flight and takes no new work. It returns when
-	// done or when the context is done.
+	// Drain accepts no new work and completes the work in flight. It returns
+	// when that is complete or the context is done.
 	Drain(ctx context.Context) error
-	// Stop ends at once whatever is left.
+	// Stop terminates remaining work immediately.
 	Stop(ctx context.Context) error
 }
 
-// Module describes a service that the kernel builds itself. New is called in
-// dependency order, so that it finds what it requires by Lookup.
+// Module describes a service that the kernel constructs. New is called in
+// dependency order, so that it can Lookup the services it requires.
 type Module struct {
 	Name     string
 	Requires []string
 	New      func(k *Kernel) (Service, error)
 }
 
-// Clock tells the time. Durations use the monotonic reading, so that a step
-// of the wall clock never moves a lease or a timeout.
+// Clock returns the current time. Durations use the monotonic reading, so that
+// steps of the wall clock do not affect leases and timeouts.
 type Clock interface {
 	Now() time.Time
 }
 
-// SystemClock is the machine's clock (faked under testing/synctest).
+// SystemClock is the system clock, which testing/synctest replaces by a fake one.
 type SystemClock struct{}
 
-// Now returns time.Now.
+// Now implements Clock.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// Kernel holds the registered services.
+// Kernel holds the registered modules and their services.
 type Kernel struct {
 	clock    Clock
 	modules  map[string]Module
@@ -63,13 +64,13 @@
 	return &Kernel{clock: clock, modules: make(map[string]Module), services: make(map[string]Service)}
 }
 
-// Clock returns the clock every service shall use.
+// Clock returns the clock that all services use.
 func (k *Kernel) Clock() Clock { return k.clock }
 
-// Register adds a module. A name registered twice is an error.
+// Register adds a module. It fails if the name is already registered.
 func (k *Kernel) Register(m Module) error {
 	if _, ok := k.modules[m.Name]; ok {
-		return trace.AlreadyExists("service %q is registered twice", m.Name)
+		return trace.AlreadyExists("service %q is already registered", m.Name)
 	}
 	k.modules[m.Name] = m
 	return nil
@@ -80,24 +81,24 @@
 	return slices.Sorted(maps.Keys(k.modules))
 }
 
-// Lookup returns the service of that name as a T. It fails when there is no
-// such service or when it is of another type.
+// Lookup returns the service with the given name as a T. It fails if there is
+// no such service or if it is not a T.
 func Lookup[T any](k *Kernel, name string) (T, error) {
 	var zero T
 	s, ok := k.services[name]
 	if !ok {
-		return zero, trace.NotFound("no service is running as %q", name)
+		return zero, trace.NotFound("service %q is not running", name)
 	}
 	t, ok := s.(T)
 	if !ok {
-		return zero, trace.BadParameter("service %q is a %T, which does not serve as %T", name, s, *new(T))
+		return zero, trace.BadParameter("service %q has type %T, want %T", name, s, *new(T))
 	}
 	return t, nil
 }
 
-// Start orders the modules by their dependencies, builds and provisions all
-// services, then starts them. On an error whatever was started is stopped.
-// The context bounds the start only: the services run until Stop.
+// Start constructs and provisions the services of all modules in dependency
+// order, then starts them. If a service fails to start, those already started
+// are stopped. The context applies to Start only: the services run until Stop.
 func (k *Kernel) Start(ctx context.Context) error {
 	order, err := k.resolve()
 	if err != nil {
@@ -131,14 +132,14 @@
 	return nil
 }
 
-// Drain drains the started services in reverse order of their start.
+// Drain drains the started services in reverse start order.
 func (k *Kernel) Drain(ctx context.Context) error {
-	return k.reverse("drain", func(s Service) error { return s.Drain(ctx) })
+	return k.forEachStartedReversed("drain", func(s Service) error { return s.Drain(ctx) })
 }
 
-// Stop stops the started services in reverse order of their start.
+// Stop stops the started services in reverse start order.
 func (k *Kernel) Stop(ctx context.Context) error {
-	err := k.reverse("stop", func(s Service) error { return s.Stop(ctx) })
+	err := k.forEachStartedReversed("stop", func(s Service) error { return s.Stop(ctx) })
 	if k.cancel != nil {
 		k.cancel()
 	}
@@ -146,7 +147,7 @@
 	return err
 }
 
-func (k *Kernel) reverse(step string, f func(Service) error) error {
+func (k *Kernel) forEachStartedReversed(step string, f func(Service) error) error {
 	var errs []error
 	for i := len(k.started) - 1; i >= 0; i-- {
 		name := k.started[i]
@@ -157,8 +158,8 @@
 	return trace.NewAggregate(errs...)
 }
 
-// resolve returns the names in dependency order. A missing or circular
-// dependency is an error that names both ends.
+// resolve returns the module names in dependency order. Errors about missing
+// and circular dependencies name all services involved.
 func (k *Kernel) resolve() ([]string, error) {
 	r := resolver{kernel: k, state: make(map[string]visitState)}
 	for _, name := range k.Names() {
@@ -191,11 +192,11 @@
 		return trace.BadParameter("circular dependency: %s", strings.Join(append(path, name), " -> "))
 	}
 	r.state[name] = visiting
-	for _, need := range r.kernel.modules[name].Requires {
-		if _, ok := r.kernel.modules[need]; !ok {
-			return trace.NotFound("service %q requires %q, which is not registered", name, need)
+	for _, required := range r.kernel.modules[name].Requires {
+		if _, ok := r.kernel.modules[required]; !ok {
+			return trace.NotFound("service %q requires %q, which is not registered", name, required)
 		}
-		if err := r.visit(need, append(path, name)); err != nil {
+		if err := r.visit(required, append(path, name)); err != nil {
 			return err
 		}
 	}
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -7,24 +7,24 @@
 )
 
 type fakeService struct {
-	log     *[]string
-	name    string
-	running context.Context
+	log      *[]string
+	name     string
+	startCtx context.Context
 }
 
-func (f *fakeService) note(step string) error {
+func (f *fakeService) record(step string) error {
 	*f.log = append(*f.log, step+" "+f.name)
 	return nil
 }
 
-func (f *fakeService) Provision(*Kernel) error { return f.note("provision") }
+func (f *fakeService) Provision(*Kernel) error { return f.record("provision") }
 func (f *fakeService) Start(ctx context.Context) error {
-	f.running = ctx
-	return f.note("start")
+	f.startCtx = ctx
+	return f.record("start")
 }
 
-func (f *fakeService) Drain(context.Context) error { return f.note("drain") }
-func (f *fakeService) Stop(context.Context) error  { return f.note("stop") }
+func (f *fakeService) Drain(context.Context) error { return f.record("drain") }
+func (f *fakeService) Stop(context.Context) error  { return f.record("stop") }
 
 func TestLifecycleFollowsDependencies(t *testing.T) {
 	var log []string
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestServicesOutliveTheContextOfStart(t *testing.T) {
+func TestServicesOutliveStartContext(t *testing.T) {
 	var log []string
 	k := New(SystemClock{})
 	register(t, k, &log, "a")
@@ -60,22 +60,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a.running.Err() != nil {
-		t.Error("the end of the start's context stopped a running service")
+	if a.startCtx.Err() != nil {
+		t.Error("canceling the context of Start stopped a running service")
 	}
 	if err := k.Stop(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if a.running.Err() == nil {
-		t.Error("Stop left the service's context open")
+	if a.startCtx.Err() == nil {
+		t.Error("Stop did not cancel the service's context")
 	}
 }
 
-func TestBadDependenciesNameBothEnds(t *testing.T) {
+func TestDependencyErrorsNameBothServices(t *testing.T) {
 	tests := []struct {
-		name  string
-		needs map[string][]string
-		words []string
+		name     string
+		requires map[string][]string
+		words    []string
 	}{
 		{"missing", map[string][]string{"forward": {"peer"}}, []string{"forward", "peer", "not registered"}},
 		{"circular", map[string][]string{"a": {"b"}, "b": {"a"}}, []string{"circular", "a -> b -> a"}},
@@ -84,8 +84,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var log []string
 			k := New(SystemClock{})
-			for name, needs := range tt.needs {
-				register(t, k, &log, name, needs...)
+			for name, requires := range tt.requires {
+				register(t, k, &log, name, requires...)
 			}
 			err := k.Start(t.Context())
 			if err == nil {
@@ -93,11 +93,11 @@
 			}
 			for _, w := range tt.words {
 				if !strings.Contains(err.Error(), w) {
-					t.Errorf("error %q does not say %q", err, w)
+					t.Errorf("error %q does not contain %q", err, w)
 				}
 			}
 			if len(log) != 0 {
-				t.Errorf("services ran: %v", log)
+				t.Errorf("services were called: %v", log)
 			}
 		})
 	}
@@ -114,10 +114,10 @@
 		t.Error(err)
 	}
 	if _, err := Lookup[*fakeService](k, "b"); err == nil {
-		t.Error("an unknown name was found")
+		t.Error("Lookup found an unknown name")
 	}
 	if _, err := Lookup[Clock](k, "a"); err == nil {
-		t.Error("a service of another type was returned")
+		t.Error("Lookup returned a service of another type")
 	}
 }
 
@@ -130,6 +130,6 @@
 		t.Fatal(err)
 	}
 	if err := k.Register(m); err == nil {
-		t.Error("a name was registered twice")
+		t.Error("Register accepted a duplicate name")
 	}
 }
