--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings of one process: its addresses,
-// availability zone, listeners, platform endpoint and keys, from JSON with
-// comments. What is the same for the whole fleet is in package config.
+// Package settings reads the settings of one process from JSON with comments:
+// its addresses, availability zone, listeners, platform endpoint and keys.
+// Configuration shared by the whole fleet is in package config.
 package settings
 
 import (
@@ -29,81 +29,82 @@
 	Peers    Peers    `json:"peers"`
 	Operator Operator `json:"operator"`
 	Log      Log      `json:"log"`
-	// Places maps each availability zone to its region, where the document
-	// does not.
+	// Places maps each availability zone to its region, for deployments whose
+	// configuration document does not list them.
 	Places map[string]string `json:"places,omitempty"`
 	Bounds Bounds            `json:"bounds,omitzero"`
 }
 
-// Bounds are what the surroundings promise and demand of the whole fleet,
-// where the document does not say so. Zero means that there is no such bound.
+// Bounds are the guarantees and requirements that the environment sets for the
+// whole fleet, for deployments whose configuration document does not contain
+// them. Zero means no bound.
 type Bounds struct {
-	StopGrace      time.Duration `json:"stop_grace"`      // from SIGTERM to SIGKILL
-	TargetDrain    time.Duration `json:"target_drain"`    // within this time a leaving target gets no new work
-	ConfigInForce  time.Duration `json:"config_in_force"` // within this time a document is in force everywhere
-	ZoneEvacuation time.Duration `json:"zone_evacuation"` // within this time an evacuated zone gets no new work
-	LookupMaxAge   time.Duration `json:"lookup_max_age"`  // longest a caller keeps a look-up as told
-	RetryRatio     float64       `json:"retry_ratio"`     // retries for each first attempt, in the window
-	RetrySlack     float64       `json:"retry_slack"`     // retries beyond the ratio, in the window, over all VMs
-	ColdFactor     float64       `json:"cold_factor"`     // of a cold target's rate that it may get in one second
-	ColdSlack      float64       `json:"cold_slack"`      // requests beyond that, over all VMs
-	KeyRevocation  time.Duration `json:"key_revocation"`  // within this time a removed key is refused by every VM, whether it reaches the platform or not
-	LimitWindow    time.Duration `json:"limit_window"`    // in which customers' rate limits are counted
-	LimitOverage   float64       `json:"limit_overage"`   // share of a limit that may be exceeded
-	LimitSlack     float64       `json:"limit_slack"`     // requests that may be exceeded, in the window, over all VMs
+	StopGrace      time.Duration `json:"stop_grace"`      // time from SIGTERM to SIGKILL
+	TargetDrain    time.Duration `json:"target_drain"`    // maximum time until a leaving target receives no new requests
+	ConfigInForce  time.Duration `json:"config_in_force"` // maximum time until all VMs have applied a new document
+	ZoneEvacuation time.Duration `json:"zone_evacuation"` // maximum time until an evacuated availability zone receives no new requests
+	LookupMaxAge   time.Duration `json:"lookup_max_age"`  // longest time for which callers are told to cache a look-up
+	RetryRatio     float64       `json:"retry_ratio"`     // maximum retries per first attempt within the window
+	RetrySlack     float64       `json:"retry_slack"`     // retries allowed beyond the ratio within the window, summed over all VMs
+	ColdFactor     float64       `json:"cold_factor"`     // multiple of a cold target's rate that it may receive in one second
+	ColdSlack      float64       `json:"cold_slack"`      // requests allowed beyond that, summed over all VMs
+	KeyRevocation  time.Duration `json:"key_revocation"`  // maximum time until every VM rejects a removed key, also VMs that cannot reach the platform
+	LimitWindow    time.Duration `json:"limit_window"`    // window over which customers' rate limits are counted
+	LimitOverage   float64       `json:"limit_overage"`   // fraction by which a limit may be exceeded
+	LimitSlack     float64       `json:"limit_slack"`     // requests allowed beyond that within the window, summed over all VMs
 }
 
-// VM names this VM and its place.
+// VM identifies this VM and its location.
 type VM struct {
 	Name   string `json:"name"`
 	Zone   string `json:"zone"`   // availability zone
-	Region string `json:"region"` // region of the zone
-	// Cores is the processor time of the VM in cores; 0: not known.
+	Region string `json:"region"` // region of the availability zone
+	// Cores is the CPU time available to the VM, in cores; 0: unknown.
 	Cores float64 `json:"cores,omitempty"`
 }
 
-// Listen holds the listeners' addresses, host:port each.
+// Listen holds the listen addresses, each as host:port.
 type Listen struct {
 	Callers   string `json:"callers"`
 	Peers     string `json:"peers"`
 	Operators string `json:"operators"`
-	Ready     string `json:"ready,omitempty"`  // readiness alone; empty: with the operators' only
-	Lookup    string `json:"lookup,omitempty"` // look-ups by place; empty: with the callers' only
+	Ready     string `json:"ready,omitempty"`  // readiness only; empty: served by the operators' listener only
+	Lookup    string `json:"lookup,omitempty"` // look-ups only; empty: served by the callers' listener only
 }
 
 // Platform is the endpoint of the platform's object API.
 type Platform struct {
 	URL            string  `json:"url"`
-	TimeoutMS      int     `json:"timeout_ms"`       // of one call; default 1000
-	WatchMS        int     `json:"watch_ms"`         // how long the platform may hold a watch; default 1000
-	CallsPerSecond float64 `json:"calls_per_second"` // budget of this process; default 20
+	TimeoutMS      int     `json:"timeout_ms"`       // timeout of one call; default 1000
+	WatchMS        int     `json:"watch_ms"`         // longest time for which the platform may hold a watch call; default 1000
+	CallsPerSecond float64 `json:"calls_per_second"` // call budget of this process; default 20
 }
 
-// Peers tells how to find and trust the other daemons.
+// Peers configures how other daemons are found and authenticated.
 type Peers struct {
-	Seeds []string `json:"seeds"` // host:port of some peer listeners, besides the platform's list
-	// FirstStart tells that the whole fleet starts for the first time.
+	Seeds []string `json:"seeds"` // host:port of some peer listeners, in addition to the platform's list
+	// FirstStart states that the whole fleet is starting for the first time.
 	FirstStart bool `json:"first_start,omitempty"`
 	TLS        TLS  `json:"tls"`
 }
 
-// TLS names key files; empty names mean plain connections.
+// TLS holds the paths of certificate and key files; if they are empty, connections are not encrypted.
 type TLS struct {
 	CertFile string `json:"cert_file"`
 	KeyFile  string `json:"key_file"`
 	CAFile   string `json:"ca_file"`
 }
 
-// Enabled reports whether keys are set.
+// Enabled reports whether a certificate is configured.
 func (t TLS) Enabled() bool { return t.CertFile != "" }
 
-// Operator guards the operators' listener.
+// Operator configures authentication of the operators' listener.
 type Operator struct {
-	TokenFile string `json:"token_file"` // file with the bearer token; empty: only health and metrics are served
+	TokenFile string `json:"token_file"` // file that contains the bearer token; empty: only health and metrics are served
 	TLS       TLS    `json:"tls"`
 }
 
-// Log sets the log.
+// Log configures logging.
 type Log struct {
 	Format telemetry.Format `json:"format"` // json or text
 	Level  string           `json:"level"`  // error, warning, info, debug
@@ -116,8 +117,8 @@
 	defaultLogLevel       = "info"
 )
 
-// Load reads and checks a settings file. The error names the file and, for
-// each fault, the field and what is allowed.
+// Load reads and validates a settings file. The error names the file and, for
+// each problem, the field and the allowed values.
 func Load(file string) (*Settings, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -130,7 +131,7 @@
 	return s, nil
 }
 
-// Parse reads and checks settings. Unknown fields are refused.
+// Parse reads and validates settings. It rejects unknown fields.
 func Parse(raw []byte) (*Settings, error) {
 	std, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
@@ -140,7 +141,7 @@
 	dec := json.NewDecoder(bytes.NewReader(std))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(s); err != nil {
-		return nil, explain(err, std, dec.InputOffset())
+		return nil, describeDecodeError(err, std, dec.InputOffset())
 	}
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -148,7 +149,7 @@
 	return s, nil
 }
 
-// Differences names the sections in which two settings differ.
+// Differences returns the JSON names of the sections in which s and other differ.
 func (s *Settings) Differences(other *Settings) []string {
 	names := []string{}
 	a, b := reflect.ValueOf(*s), reflect.ValueOf(*other)
@@ -160,39 +161,40 @@
 	return names
 }
 
-// Check fills in defaults and reports every fault at once.
+// Check sets defaults and validates the settings. The error lists all problems.
 func (s *Settings) Check() error {
 	s.setDefaults()
 	return s.validate()
 }
 
-// explain turns a decoder's error into one with the line, the field and what
-// is allowed. hujson keeps offsets, so that lines are those of the file.
-func explain(err error, raw []byte, offset int64) error {
+// describeDecodeError converts a decoder error to one that states the line, the
+// field and the allowed values. hujson preserves offsets, so the lines are those
+// of the file.
+func describeDecodeError(err error, raw []byte, offset int64) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
-		return trace.BadParameter("line %d: field %s: got a %s, allowed is a %s",
-			lineOf(raw, typeErr.Offset), typeErr.Field, typeErr.Value, typeErr.Type)
+		return trace.BadParameter("line %d: field %s: got a %s, must be a %s",
+			lineAt(raw, typeErr.Offset), typeErr.Field, typeErr.Value, typeErr.Type)
 	}
 	if field, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		name := strings.Trim(field, `"`)
 		if i := bytes.Index(raw, []byte(field)); i >= 0 {
 			offset = int64(i)
 		}
-		return trace.BadParameter("line %d: unknown field %s; allowed are: %s",
-			lineOf(raw, offset), name, strings.Join(fieldNames(reflect.TypeFor[Settings](), ""), ", "))
+		return trace.BadParameter("line %d: unknown field %s; known fields: %s",
+			lineAt(raw, offset), name, strings.Join(fieldNames(reflect.TypeFor[Settings](), ""), ", "))
 	}
-	return trace.BadParameter("line %d: %v", lineOf(raw, offset), err)
+	return trace.BadParameter("line %d: %v", lineAt(raw, offset), err)
 }
 
-func lineOf(raw []byte, offset int64) int {
+func lineAt(raw []byte, offset int64) int {
 	if offset > int64(len(raw)) {
 		offset = int64(len(raw))
 	}
 	return 1 + bytes.Count(raw[:offset], []byte("\n"))
 }
 
-// fieldNames lists the dotted names of all fields of a settings struct.
+// fieldNames returns the dotted names of all fields of a settings struct.
 func fieldNames(t reflect.Type, prefix string) []string {
 	var names []string
 	for i := range t.NumField() {
@@ -222,11 +224,11 @@
 	}
 }
 
-// validate reports every fault at once.
+// validate returns an error that lists all problems.
 func (s *Settings) validate() error {
-	var faults []string
-	fault := func(field, format string, args ...any) {
-		faults = append(faults, fmt.Sprintf("field %s: %s", field, fmt.Sprintf(format, args...)))
+	var problems []string
+	addProblem := func(field, format string, args ...any) {
+		problems = append(problems, fmt.Sprintf("field %s: %s", field, fmt.Sprintf(format, args...)))
 	}
 	required := []struct{ field, value string }{
 		{"vm.name", s.VM.Name},
@@ -236,7 +238,7 @@
 	}
 	for _, r := range required {
 		if r.value == "" {
-			fault(r.field, "is empty; a value is required")
+			addProblem(r.field, "is required")
 		}
 	}
 	listeners := []struct{ field, value string }{
@@ -246,28 +248,28 @@
 	}
 	for _, l := range listeners {
 		if _, _, err := net.SplitHostPort(l.value); err != nil {
-			fault(l.field, "got %q; allowed is host:port", l.value)
+			addProblem(l.field, "got %q, must be host:port", l.value)
 		}
 	}
 	if s.Platform.TimeoutMS < 0 || s.Platform.CallsPerSecond < 0 {
-		fault("platform", "timeout_ms and calls_per_second must be above 0")
+		addProblem("platform", "timeout_ms and calls_per_second must be positive")
 	}
 	if s.Log.Format != telemetry.FormatJSON && s.Log.Format != telemetry.FormatText {
-		fault("log.format", "got %q; allowed are json, text", s.Log.Format)
+		addProblem("log.format", "got %q, must be one of json, text", s.Log.Format)
 	}
 	if _, err := logrus.ParseLevel(s.Log.Level); err != nil {
-		fault("log.level", "got %q; allowed are error, warning, info, debug", s.Log.Level)
+		addProblem("log.level", "got %q, must be one of error, warning, info, debug", s.Log.Level)
 	}
 	for _, t := range []struct {
 		field string
 		tls   TLS
 	}{{"peers.tls", s.Peers.TLS}, {"operator.tls", s.Operator.TLS}} {
 		if (t.tls.CertFile == "") != (t.tls.KeyFile == "") {
-			fault(t.field, "cert_file and key_file must be set together")
+			addProblem(t.field, "cert_file and key_file must be set together")
 		}
 	}
-	if len(faults) > 0 {
-		return trace.BadParameter("%s", strings.Join(faults, "; "))
+	if len(problems) > 0 {
+		return trace.BadParameter("%s", strings.Join(problems, "; "))
 	}
 	return nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-const good = `{
+const validSettings = `{
   // one VM of Estiba
   "vm": {"name": "ros-a-1", "zone": "ros-a", "region": "rosario"},
   "listen": {"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "operators": "127.0.0.1:0"},
   "platform": {"url": "http://127.0.0.1:1"},
 }`
 
-func TestParseTakesCommentsAndSetsDefaults(t *testing.T) {
-	s, err := Parse([]byte(good))
+func TestParseAcceptsCommentsAndSetsDefaults(t *testing.T) {
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestParseNamesLineFieldAndAllowed(t *testing.T) {
+func TestParseErrorsNameLineFieldAndAllowedValues(t *testing.T) {
 	tests := []struct {
 		name, old, new string
 		words          []string
@@ -35,13 +35,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(good, tt.old, tt.new, 1)))
+			_, err := Parse([]byte(strings.Replace(validSettings, tt.old, tt.new, 1)))
 			if err == nil {
 				t.Fatal("no error")
 			}
 			for _, w := range tt.words {
 				if !strings.Contains(err.Error(), w) {
-					t.Errorf("error %q does not say %q", err, w)
+					t.Errorf("error %q does not contain %q", err, w)
 				}
 			}
 		})
