--- a/internal/telemetry/event.go
+++ b/internal/telemetry/event.go
@@ -1,5 +1,4 @@
-// Package telemetry holds the numbered events of the log, one typed
-// catalogue, and the metrics with histograms for each service and class.
+// Package telemetry provides the logger and the catalogue of numbered log events.
 package telemetry
 
 import (
@@ -10,20 +9,19 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Event is one numbered event of the log. Numbers are never reused.
+// Event is a numbered log event. Numbers are never reused.
 type Event struct {
 	Number  int
 	Level   logrus.Level
-	Name    string // short, constant text of the log line
+	Name    string // short, constant message of the log line
 	Meaning string // what happened
-	Action  string // what the operator does
-	// Routine marks events of each request that goes well; they are the first
-	// to be left out when there are too many lines.
+	Action  string // what the operator should do
+	// Routine marks events that are logged for each successful request. They
+	// have a rate limit of their own, so that they do not displace other events.
 	Routine bool
 }
 
-// Ranges of event numbers. Each package declares its events in its own file
-// events.go with Register.
+// Ranges of event numbers. Each package registers its events in its file events.go.
 const (
 	RangeKernel     = 1000
 	RangePlatform   = 2000
@@ -43,9 +41,9 @@
 
 var catalogue = map[int]*Event{}
 
-// Register adds an event to the catalogue and returns it. It is called from
-// package-level variables only and panics on a number used twice, which is a
-// programming error.
+// Register adds an event to the catalogue and returns it. It must be called only
+// to initialize package-level variables. It panics if the number is already
+// registered, which is a programming error.
 func Register(e Event) *Event {
 	if _, ok := catalogue[e.Number]; ok {
 		panic("telemetry: event number registered twice: " + e.Name)
@@ -54,7 +52,7 @@
 	return &e
 }
 
-// Catalogue returns all registered events by number.
+// Catalogue returns all registered events, sorted by number.
 func Catalogue() []*Event {
 	events := make([]*Event, 0, len(catalogue))
 	for _, e := range catalogue {
@@ -70,27 +68,27 @@
 	Value any
 }
 
-// Peer names the peer at which something arose.
+// Peer is the field for the peer that an event concerns.
 func Peer(name string) Field { return Field{fieldPeer, name} }
 
-// Step names the step at which something arose.
+// Step is the field for the processing step in which an event occurred.
 func Step(name string) Field { return Field{fieldStep, name} }
 
-// GenerationOf names a generation of the document.
+// GenerationOf is the field for a generation of the configuration document.
 func GenerationOf(gen uint64) Field { return Field{fieldGeneration, gen} }
 
-// Value is any other field.
+// Value returns a field with any other key.
 func Value(key string, value any) Field { return Field{key, value} }
 
-// Err is the error field.
+// Err is the field for an error.
 func Err(err error) Field { return Field{logrus.ErrorKey, err} }
 
-// Logger writes numbered events.
+// Logger writes numbered events to the log. A nil Logger discards them.
 type Logger struct {
-	out    *logrus.Logger
-	vm     string
-	budget *lineBudget
-	queue  *QueuedWriter // nil: lines are written by who logs
+	out     *logrus.Logger
+	vm      string
+	limiter *lineLimiter
+	queue   *QueuedWriter // nil: Log writes synchronously
 }
 
 // Format is the format of log lines.
@@ -112,56 +110,57 @@
 	} else {
 		l.SetFormatter(&logrus.TextFormatter{FullTimestamp: true})
 	}
-	logger := &Logger{out: l, vm: vm, budget: newLineBudget(LinesPerSecond)}
+	logger := &Logger{out: l, vm: vm, limiter: newLineLimiter(LinesPerSecond)}
 	logger.queue, _ = w.(*QueuedWriter)
 	return logger
 }
 
-// SetLinesPerSecond sets the bound of lines, for events marked Routine and for all
-// others each. Set it before use.
-func (l *Logger) SetLinesPerSecond(n int) { l.budget = newLineBudget(n) }
+// SetLinesPerSecond sets the rate limit that applies separately to events marked
+// Routine and to all others. It must be called before the logger is used.
+func (l *Logger) SetLinesPerSecond(n int) { l.limiter = newLineLimiter(n) }
 
-// Flush waits for a short time until the lines so far are written.
+// Flush waits until all lines logged so far are written, at most flushTimeout.
+// Nothing may be logged after it.
 func (l *Logger) Flush() {
 	if l != nil && l.queue != nil {
 		l.queue.Flush()
 	}
 }
 
-// Discard returns a logger that writes nothing, for tests.
+// Discard returns a logger for tests that writes nothing.
 func Discard() *Logger { return NewLogger(io.Discard, FormatText, logrus.PanicLevel, "") }
 
-// Log writes one event.
+// Log writes an event, unless its level is disabled or the rate limit is exceeded.
 func (l *Logger) Log(e *Event, fields ...Field) {
 	if l == nil || !l.out.IsLevelEnabled(e.Level) {
 		return
 	}
-	if !l.budget.allow(e) {
+	if !l.limiter.allow(e) {
 		return
 	}
-	l.sayLeftOut()
+	l.reportSuppressed()
 	l.write(e, fields)
 }
 
-// sayLeftOut writes what was left out since it was last said.
-func (l *Logger) sayLeftOut() {
-	left := l.budget.takeLeftOut(time.Now())
-	if left == nil {
+// reportSuppressed logs the lines suppressed since the last report.
+func (l *Logger) reportSuppressed() {
+	suppressed := l.limiter.takeSuppressed(time.Now())
+	if suppressed == nil {
 		return
 	}
-	fields := []Field{Value("lines", left)}
+	fields := []Field{Value("lines", suppressed)}
 	if l.queue != nil {
 		fields = append(fields, Value("dropped", l.queue.TakeDropped()))
 	}
-	l.write(eventLeftOut, fields)
+	l.write(eventLinesSuppressed, fields)
 }
 
-var eventLeftOut = Register(Event{
+var eventLinesSuppressed = Register(Event{
 	Number:  RangeKernel + 11,
 	Level:   logrus.WarnLevel,
-	Name:    "lines left out",
-	Meaning: "So many lines of the events named by number were left out, as there were too many; dropped counts those for which standard output was too slow.",
-	Action:  "Use the metrics for counts; read the lines of other VMs for the time.",
+	Name:    "log lines suppressed",
+	Meaning: "Log lines exceeded the rate limit. Field lines states how many were suppressed by event number; field dropped counts lines lost because standard output was too slow.",
+	Action:  "Use the metrics for counts; check the logs of other VMs for this period.",
 })
 
 func (l *Logger) write(e *Event, fields []Field) {
@@ -171,7 +170,7 @@
 	for _, f := range fields {
 		data[f.Key] = f.Value
 	}
-	// The entry takes over the map; WithFields would copy it.
+	// Building the entry directly avoids the copy of the map that WithFields makes.
 	entry := logrus.Entry{Logger: l.out, Data: data}
 	entry.Log(e.Level, e.Name)
 }
--- a/internal/telemetry/event_test.go
+++ b/internal/telemetry/event_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestRegisterRefusesANumberUsedTwice(t *testing.T) {
+func TestRegisterPanicsOnDuplicateNumber(t *testing.T) {
 	const number = 999_999
 	Register(Event{Number: number, Name: "first"})
 	defer delete(catalogue, number)
--- a/internal/telemetry/format.go
+++ b/internal/telemetry/format.go
@@ -11,22 +11,22 @@
 	"github.com/sirupsen/logrus"
 )
 
-// lineFormatter writes a log line as one JSON object. The formatter of logrus
-// encodes by reflection, which takes a good part of a VM's processor time; this one
-// takes the types that fields have.
+// lineFormatter formats a log line as one JSON object. The JSONFormatter of logrus
+// encodes by reflection, which costs a significant part of a VM's CPU time. This
+// one encodes the types that fields usually have without reflection.
 type lineFormatter struct{}
 
 var _ logrus.Formatter = lineFormatter{}
 
-// Names of the fields that every line has.
+// Names of the fields that all lines contain.
 const (
 	fieldLevel   = "level"
 	fieldMessage = "msg"
 	fieldTime    = "time"
 )
 
-// usualFields is how many fields a line has at most without an allocation.
-const usualFields = 20
+// inlineFields is the number of fields whose names are sorted without an allocation.
+const inlineFields = 20
 
 // Format implements logrus.Formatter.
 func (lineFormatter) Format(e *logrus.Entry) ([]byte, error) {
@@ -40,8 +40,8 @@
 	b.WriteString(e.Level.String())
 	b.WriteString(`","` + fieldMessage + `":`)
 	writeValue(b, e.Message)
-	var room [usualFields]string
-	names := room[:0]
+	var buf [inlineFields]string
+	names := buf[:0]
 	for name := range e.Data {
 		names = append(names, name)
 	}
@@ -74,20 +74,21 @@
 	default:
 		raw, err := json.Marshal(v)
 		if err != nil {
-			writeString(b, fmt.Sprint(v)) // what JSON has no form for
+			writeString(b, fmt.Sprint(v)) // for example NaN, which JSON cannot represent
 			return
 		}
 		b.Write(raw)
 	}
 }
 
-// writeString writes a string as JSON; those of plain letters go as they are.
+// writeString writes a string as JSON. Printable ASCII without quotes and
+// backslashes needs no escaping and is copied.
 func writeString(b *bytes.Buffer, s string) {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
 			raw, err := json.Marshal(s)
 			if err != nil {
-				raw = []byte(strconv.QuoteToASCII(s)) // never for a string
+				raw = []byte(strconv.QuoteToASCII(s)) // unreachable: strings can always be encoded
 			}
 			b.Write(raw)
 			return
--- a/internal/telemetry/format_test.go
+++ b/internal/telemetry/format_test.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Whatever a field holds, the line is one JSON object with that value.
+// Each line is one valid JSON object, whatever values its fields have.
 func TestLinesAreJSON(t *testing.T) {
 	var buf bytes.Buffer
 	logger := NewLogger(&buf, FormatJSON, logrus.InfoLevel, "vm-1")
@@ -46,7 +46,7 @@
 		"event": 8401, "request_id": "67cfc6bb3dc34e68", "peer": "i-31e98033e3", "object": "45", "rank": 0,
 		"known": true, "region": "se-stockholm", "own": 2, "others": 3, "age_ms": int64(124), "waited_ms": int64(0),
 	})
-	for name, f := range map[string]logrus.Formatter{"logrus": &logrus.JSONFormatter{}, "ours": lineFormatter{}} {
+	for name, f := range map[string]logrus.Formatter{"logrus": &logrus.JSONFormatter{}, "lineFormatter": lineFormatter{}} {
 		b.Run(name, func(b *testing.B) {
 			entry.Buffer = &bytes.Buffer{}
 			b.ReportAllocs()
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -6,16 +6,15 @@
 	"time"
 )
 
-// queueLines is how many lines may wait for the writer: about two seconds of
-// the most that the line budget lets through.
+// queueLines is the capacity of the queue in lines: about two seconds of the
+// maximum output that the rate limit allows.
 const queueLines = 1024
 
-// flushPatience bounds how long the end of a process waits for the writer.
-const flushPatience = 200 * time.Millisecond
+// flushTimeout limits the time for which Flush delays the end of a process.
+const flushTimeout = 200 * time.Millisecond
 
-// QueuedWriter writes lines from a goroutine of its own, so that a reader that
-// does not read never holds up who logs. Lines that find the queue full are
-// dropped and counted.
+// QueuedWriter writes lines in its own goroutine, so that a blocked reader of the
+// output never delays callers. If the queue is full, lines are dropped and counted.
 type QueuedWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -23,7 +22,7 @@
 	done    chan struct{}
 }
 
-// NewQueuedWriter returns a writer to out.
+// NewQueuedWriter returns a writer to out and starts its goroutine.
 func NewQueuedWriter(out io.Writer) *QueuedWriter {
 	w := &QueuedWriter{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{})}
 	go w.run()
@@ -41,16 +40,16 @@
 	return len(p), nil
 }
 
-// TakeDropped returns how many lines were dropped since the last call.
+// TakeDropped returns the number of lines dropped since the last call.
 func (w *QueuedWriter) TakeDropped() int64 { return w.dropped.Swap(0) }
 
-// Flush waits until the lines so far are written, for a short time at most.
-// Nothing is to be written after it.
+// Flush waits until all queued lines are written, at most flushTimeout. It ends
+// the writer's goroutine: nothing may be written afterwards.
 func (w *QueuedWriter) Flush() {
-	timer := time.NewTimer(flushPatience)
+	timer := time.NewTimer(flushTimeout)
 	defer timer.Stop()
 	select {
-	case w.lines <- nil: // the end, for run
+	case w.lines <- nil: // ends run
 	case <-timer.C:
 		return
 	}
@@ -66,7 +65,7 @@
 		if line == nil {
 			return
 		}
-		// A reader that is gone leaves nobody to tell.
+		// An error cannot be reported: the log itself is not writable.
 		_, _ = w.out.Write(line)
 	}
 }
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -13,15 +13,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// blockedWriter is a reader of the log that does not read until it is let go.
+// blockedWriter is an output that blocks until it is released.
 type blockedWriter struct {
-	let  chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
+	release chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
 }
 
 func (w *blockedWriter) Write(p []byte) (int, error) {
-	<-w.let
+	<-w.release
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.text.Write(p)
@@ -32,11 +32,10 @@
 	failure = &Event{Number: 2, Level: logrus.WarnLevel, Name: "failure"}
 )
 
-// Nobody who logs waits for standard output, however long that is blocked, and
-// what was dropped is counted.
-func TestBlockedOutputDelaysNobody(t *testing.T) {
+// Writes never wait for a blocked output, and dropped lines are counted.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &blockedWriter{let: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		queue := NewQueuedWriter(out)
 		began := time.Now()
 		const lines = 3 * queueLines
@@ -55,10 +54,10 @@
 		}
 		began = time.Now()
 		queue.Flush()
-		if waited := time.Since(began); waited != flushPatience {
-			t.Errorf("the end of the process waited %v for a reader that does not read", waited)
+		if waited := time.Since(began); waited != flushTimeout {
+			t.Errorf("Flush waited %v for a blocked output, want flushTimeout", waited)
 		}
-		close(out.let)
+		close(out.release)
 		queue.Flush()
 		synctest.Wait()
 		if got := strings.Count(out.text.String(), "line\n"); int64(got) != lines-dropped {
@@ -67,7 +66,7 @@
 	})
 }
 
-func TestFlushWritesWhatWaits(t *testing.T) {
+func TestFlushWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	queue := NewQueuedWriter(&out)
 	logger := NewLogger(queue, FormatJSON, logrus.InfoLevel, "vm")
@@ -78,8 +77,8 @@
 	}
 }
 
-// Ten times the usual load stays within the budget of lines; failures are kept
-// while lines of requests that went well are left out, and how many is said.
+// At ten times the usual load the number of lines stays within the limit: routine
+// lines are suppressed and counted, failures are all written.
 func TestBurstStaysWithinTheLineBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -94,22 +93,23 @@
 				time.Sleep(time.Second / requestsPerSecond)
 			}
 		}
-		counts, leftOut := count(t, &out)
-		most := (seconds + budgetBurst) * (LinesPerSecond + LinesPerSecond)
-		if total := counts[1] + counts[2] + counts[eventLeftOut.Number]; total > most+seconds+1 {
-			t.Errorf("%d lines in %d s, want at most %d", total, seconds, most)
+		counts, suppressed := countLines(t, &out)
+		maxLines := (seconds + burstSeconds) * (LinesPerSecond + LinesPerSecond)
+		if total := counts[1] + counts[2] + counts[eventLinesSuppressed.Number]; total > maxLines+seconds+1 {
+			t.Errorf("%d lines in %d s, want at most %d", total, seconds, maxLines)
 		}
 		if counts[2] != seconds*failuresPerSecond {
 			t.Errorf("%d of %d failures were written", counts[2], seconds*failuresPerSecond)
 		}
-		if said := counts[1] + leftOut; said < seconds*requestsPerSecond*9/10 {
-			t.Errorf("%d routine lines written and %d said to be left out, of %d", counts[1], leftOut, seconds*requestsPerSecond)
+		if accounted := counts[1] + suppressed; accounted < seconds*requestsPerSecond*9/10 {
+			t.Errorf("%d routine lines written and %d reported as suppressed, of %d", counts[1], suppressed, seconds*requestsPerSecond)
 		}
 	})
 }
 
-// count returns the lines by event, and how many are said to be left out.
-func count(t *testing.T, r io.Reader) (counts map[int]int, leftOut int) {
+// countLines returns the number of lines by event, and the number of routine
+// lines reported as suppressed.
+func countLines(t *testing.T, r io.Reader) (counts map[int]int, suppressed int) {
 	t.Helper()
 	counts = make(map[int]int)
 	dec := json.NewDecoder(r)
@@ -122,7 +122,7 @@
 			t.Fatal(err)
 		}
 		counts[line.Event]++
-		leftOut += line.Lines["1"]
+		suppressed += line.Lines["1"]
 	}
-	return counts, leftOut
+	return counts, suppressed
 }
