--- a/internal/membership/action.go
+++ b/internal/membership/action.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is an effect that the Machine requests.
+// Action is a side effect that the Machine requests from its caller.
 type Action interface{ action() }
 
 // SendHeartbeat sends a heartbeat to a member.
@@ -11,51 +11,53 @@
 	Heartbeat *Heartbeat
 }
 
-// CallJoin sends a join request to a daemon; the result goes to Joined.
+// CallJoin sends a join request to a daemon. Its response must be passed to Joined.
 type CallJoin struct {
 	Candidate Candidate
 	Request   JoinRequest
 }
 
-// LearnAddress sets a member's peer address; empty: it is forgotten.
-type LearnAddress struct {
+// SetPeerAddress sets a member's peer address. An empty address removes it.
+type SetPeerAddress struct {
 	VM      string
 	Address string
 }
 
-// ReportAwake reports a pause of this process. State and grants from others are older by it.
-type ReportAwake struct {
-	Away time.Duration
+// ReportPause reports that this process was paused. State and grants received from other daemons are
+// older by that duration.
+type ReportPause struct {
+	Duration time.Duration
 }
 
-// ReportState reports a member's changed state.
+// ReportState reports that a member's state changed.
 type ReportState struct {
 	Name  string
 	State State
 }
 
-// ReportOneWay reports that a neighbor's heartbeats arrive but ours do not, or the end of it.
+// ReportOneWay reports that a neighbor's heartbeats arrive but it does not receive ours, or that the
+// link has recovered.
 type ReportOneWay struct {
-	Peer string
-	Over bool
+	Peer      string
+	Recovered bool
 }
 
-// ReportRenewed reports a higher incarnation of this daemon, as others hold the previous one
-// for gone or surpassed.
-type ReportRenewed struct {
+// ReportNewIncarnation reports that this daemon took a higher incarnation because the previous one
+// is considered gone or superseded.
+type ReportNewIncarnation struct {
 	Incarnation uint64
 }
 
-// ReportJoined reports that the daemon is a member. Alone means that no other one answered.
+// ReportJoined reports that this daemon became a member. Alone means that no other daemon responded.
 type ReportJoined struct {
 	Alone bool
 }
 
-func (SendHeartbeat) action() {}
-func (CallJoin) action()      {}
-func (LearnAddress) action()  {}
-func (ReportAwake) action()   {}
-func (ReportState) action()   {}
-func (ReportOneWay) action()  {}
-func (ReportRenewed) action() {}
-func (ReportJoined) action()  {}
+func (SendHeartbeat) action()        {}
+func (CallJoin) action()             {}
+func (SetPeerAddress) action()       {}
+func (ReportPause) action()          {}
+func (ReportState) action()          {}
+func (ReportOneWay) action()         {}
+func (ReportNewIncarnation) action() {}
+func (ReportJoined) action()         {}
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -7,28 +7,27 @@
 	"time"
 )
 
-// fleetShape is the size of a fleet; members are spread evenly.
+// fleetShape is the size of a fleet whose members are distributed evenly.
 type fleetShape struct {
 	members, regions, zones int
 }
 
-// BenchmarkFleet measures the cost of membership per daemon by fleet size: frame bytes per second,
-// the largest of any daemon, and CPU time. The generation changes every 15 seconds, and one daemon
-// restarts.
+// BenchmarkFleet measures the cost of membership per daemon by fleet size: mean and maximum frame
+// bytes per second, and CPU time. The generation changes every 15 seconds, and one daemon crashes.
 func BenchmarkFleet(b *testing.B) {
 	shapes := []fleetShape{{10, 3, 6}, {30, 3, 6}, {100, 4, 9}, {300, 6, 14}, {700, 9, 21}, {1400, 9, 21}}
 	for _, shape := range shapes {
 		b.Run(fmt.Sprintf("members=%d", shape.members), func(b *testing.B) {
 			for b.Loop() {
-				s := grow(b, shape)
+				s := newBenchFleet(b, shape)
 				measureFleet(b, s, shape)
 			}
 		})
 	}
 }
 
-// grow makes a fleet whose members know each other.
-func grow(b *testing.B, shape fleetShape) *sim {
+// newBenchFleet returns a fleet whose members all know each other.
+func newBenchFleet(b *testing.B, shape fleetShape) *sim {
 	s := newSim(b, uint64(shape.members))
 	var records []Record
 	for i := range shape.members {
@@ -40,7 +39,7 @@
 	}
 	answer := &JoinAnswer{Name: "table", Records: records}
 	for _, name := range s.order {
-		s.do(name, s.nodes[name].Joined(s.now, answer))
+		s.execute(name, s.nodes[name].Joined(s.now, answer))
 	}
 	s.latency = func(from, to string) time.Duration {
 		if from[:2] != to[:2] {
@@ -54,11 +53,11 @@
 
 func measureFleet(b *testing.B, s *sim, shape fleetShape) {
 	const generations, interval = 2, 15 * time.Second
-	s.measure = true
+	s.measuring = true
 	start := time.Now()
 	for g := range generations {
 		for _, name := range s.order {
-			s.do(name, s.nodes[name].SetGeneration(s.now, uint64(g+1), 1))
+			s.execute(name, s.nodes[name].SetGeneration(s.now, uint64(g+1), 1))
 		}
 		s.run(interval / 2)
 		if g == 0 {
--- a/internal/membership/derive.go
+++ b/internal/membership/derive.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// View returns the view of the members, the same value until a change.
+// View returns the current view. It returns the same value until the view changes.
 func (m *Machine) View() *View {
 	if m.view != nil && !m.viewStale {
 		return m.view
@@ -18,7 +18,7 @@
 	v.Members = make([]Member, 0, len(m.table))
 	for _, e := range m.table {
 		if !e.Gone || e == m.self {
-			v.Members = append(v.Members, m.member(e))
+			v.Members = append(v.Members, m.toMember(e))
 		}
 	}
 	slices.SortFunc(v.Members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
@@ -26,16 +26,17 @@
 	return v
 }
 
-func (m *Machine) member(e *entry) Member {
+func (m *Machine) toMember(e *entry) Member {
 	return Member{
 		Name: e.Name, Zone: e.Zone, Region: e.Region,
 		PeerAddress: e.PeerAddress, CallerAddress: e.CallerAddress, Cores: e.Cores,
-		Incarnation: e.Incarnation, Process: e.Process, State: m.derive(e), Generation: e.Generation, Hash: e.Hash, RefusesKeys: e.RefusesKeys, Term: e.Term,
+		Incarnation: e.Incarnation, Process: e.Process, State: m.memberState(e), Generation: e.Generation, Hash: e.Hash, RefusesKeys: e.RefusesKeys, Term: e.Term,
 	}
 }
 
-// derive returns a member's state: that of its record, or suspect if its region is silent.
-func (m *Machine) derive(e *entry) State {
+// memberState returns a member's state: that of its record, or Suspect if it is alive but its region
+// is silent.
+func (m *Machine) memberState(e *entry) State {
 	s := e.state()
 	if s == Alive && e.Region != m.self.Region {
 		if r := m.regions[e.region]; r != nil && r.silent {
@@ -45,17 +46,17 @@
 	return s
 }
 
-// reportStates reports the members whose state changed.
+// reportStates emits an action for each member whose state changed.
 func (m *Machine) reportStates() {
 	if !m.statesStale {
 		return
 	}
 	m.statesStale = false
 	for name, e := range m.table {
-		s := m.derive(e)
+		s := m.memberState(e)
 		if !e.isReported || e.reported != s {
 			e.reported, e.isReported = s, true
-			m.act(ReportState{Name: name, State: s})
+			m.emit(ReportState{Name: name, State: s})
 		}
 	}
 }
--- a/internal/membership/detect.go
+++ b/internal/membership/detect.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// indirectProbes is the number of VMs asked about a silent neighbor.
+// indirectProbes is the number of VMs that are asked for evidence about a silent neighbor.
 const indirectProbes = 3
 
-// detect marks silent neighbors suspect and long suspects gone.
+// detect marks silent neighbors as suspect, and members that were suspect for too long as gone.
 func (m *Machine) detect(now time.Time) {
 	if m.phase == PhaseJoining {
 		return
@@ -20,38 +20,38 @@
 		switch {
 		case e.Suspect || e.Gone:
 		case silent >= m.opts.SuspectAfter:
-			m.judge(e, now, func(r *Record) { r.Suspect = true })
+			m.changeMember(e, now, func(r *Record) { r.Suspect = true })
 		case silent >= m.opts.ProbeAfter:
 			m.probeIndirectly(e, now)
 		}
 	}
-	m.judgeGone(t, now)
+	m.markGone(t, now)
 	m.detectRegions(now)
 }
 
-// judge applies this daemon's verdict on a member.
-func (m *Machine) judge(e *entry, now time.Time, verdict func(*Record)) {
+// changeMember changes the record of another member, to mark it suspect or gone.
+func (m *Machine) changeMember(e *entry, now time.Time, change func(*Record)) {
 	m.digest ^= e.Record.digest()
-	verdict(&e.Record)
+	change(&e.Record)
 	m.digest ^= e.Record.digest()
-	e.changed, e.suspectSince = now, now
-	m.touchRecord(e, nil)
+	e.changedAt, e.suspectSince = now, now
+	m.markRecordChanged(e, nil)
 }
 
-// probeIndirectly asks a silent neighbor's other neighbors for evidence that it is alive, to distinguish
-// a failed link from a failed daemon.
+// probeIndirectly asks other neighbors of a silent neighbor for evidence that it is alive, to
+// distinguish a failed link from a failed daemon.
 func (m *Machine) probeIndirectly(e *entry, now time.Time) {
-	helpers := neighborsOf(e.Name, m.currentTopology().ring, m.opts.MeshSize)
-	m.random.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
-	asked := 0
-	for _, name := range helpers {
-		h := m.table[name]
-		if name == m.self.Name || h.Suspect || asked == indirectProbes {
+	probers := neighborsOf(e.Name, m.currentTopology().ring, m.opts.MeshSize)
+	m.random.Shuffle(len(probers), func(i, j int) { probers[i], probers[j] = probers[j], probers[i] })
+	chosen := 0
+	for _, name := range probers {
+		prober := m.table[name]
+		if name == m.self.Name || prober.Suspect || chosen == indirectProbes {
 			continue
 		}
-		asked++
+		chosen++
 		l := m.link(name)
-		if l.sent == now {
+		if l.lastSent == now {
 			continue
 		}
 		m.send(l, now)
@@ -60,7 +60,7 @@
 	}
 }
 
-// addEvidence answers a peer's probes from direct heartbeats.
+// addEvidence answers a peer's probes, based on heartbeats that this daemon received directly.
 func (m *Machine) addEvidence(hb *Heartbeat, l *linkState, now time.Time) {
 	for _, name := range l.probes {
 		e, direct := m.table[name], m.links[name]
@@ -76,53 +76,54 @@
 }
 
 func (m *Machine) applyEvidence(hb *Heartbeat, now time.Time) {
-	for _, s := range hb.Evidence {
-		e := m.table[s.Name]
-		if e == nil || e.Incarnation != s.Incarnation {
+	for _, ev := range hb.Evidence {
+		e := m.table[ev.Name]
+		if e == nil || e.Incarnation != ev.Incarnation {
 			continue
 		}
-		if at := now.Add(-time.Duration(s.AgeMS) * time.Millisecond); at.After(e.lastAlive) {
-			e.lastAlive = at
+		if aliveAt := now.Add(-time.Duration(ev.AgeMS) * time.Millisecond); aliveAt.After(e.lastAlive) {
+			e.lastAlive = aliveAt
 		}
 	}
 }
 
-// judgeGone marks long suspects of the own region gone. A region that is cut off stays suspect,
-// as only its own members judge it. A daemon that receives less than half of its heartbeats
-// takes itself for isolated and judges nobody until it recovers.
-func (m *Machine) judgeGone(t *topology, now time.Time) {
-	patience := m.opts.GoneAfter - m.opts.SuspectAfter
+// markGone marks members of this daemon's region as gone if they were suspect for too long. Members
+// of an unreachable region stay suspect, because only members of the same region mark each other as
+// gone. A daemon that receives heartbeats from less than half of its partners considers itself
+// isolated and marks no member as gone until it recovers.
+func (m *Machine) markGone(t *topology, now time.Time) {
+	timeout := m.opts.GoneAfter - m.opts.SuspectAfter
 	isolated := m.isolated(t, now)
 	for _, e := range t.ring {
 		switch {
 		case !e.Suspect || e.Gone:
 		case isolated:
 			e.suspectSince = now
-		case now.Sub(e.suspectSince) >= patience:
-			m.judge(e, now, func(r *Record) { r.Gone = true })
+		case now.Sub(e.suspectSince) >= timeout:
+			m.changeMember(e, now, func(r *Record) { r.Gone = true })
 		}
 	}
 }
 
-// isolated reports whether most expected heartbeats are missing. With a single partner that
-// is undecidable.
+// isolated reports whether the heartbeats of most partners are missing. With a single partner it
+// returns false, because a failed partner cannot be distinguished from isolation.
 func (m *Machine) isolated(t *topology, now time.Time) bool {
-	if len(t.targets) < 2 {
+	if len(t.partners) < 2 {
 		return false
 	}
 	received := 0
-	for _, name := range t.targets {
+	for _, name := range t.partners {
 		if l := m.links[name]; l != nil && l.received && now.Sub(l.lastReceived) < m.opts.SuspectAfter+m.interval(name) {
 			received++
 		}
 	}
-	return 2*received < len(t.targets)
+	return 2*received < len(t.partners)
 }
 
-// expireInterval is the interval of expire.
+// expireInterval is the minimum time between runs of expire.
 const expireInterval = time.Second
 
-// expire forgets gone members, members of long silent regions and unused links.
+// expire removes gone members, members of regions that have been silent for long, and unused links.
 func (m *Machine) expire(now time.Time) {
 	if now.Before(m.nextExpire) {
 		return
@@ -133,30 +134,30 @@
 			continue
 		}
 		region := m.regions[e.region]
-		lost := e.Region != m.self.Region && region != nil && now.Sub(region.lastNote) > m.opts.ForgetAfter
-		if e.Gone && now.Sub(e.changed) > m.opts.TombstoneAfter || lost {
-			m.forget(name, e, lost)
+		regionLost := e.Region != m.self.Region && region != nil && now.Sub(region.lastSummary) > m.opts.ForgetAfter
+		if e.Gone && now.Sub(e.changedAt) > m.opts.TombstoneTTL || regionLost {
+			m.forget(name, e, regionLost)
 		}
 	}
-	targets := m.currentTopology().targets
+	partners := m.currentTopology().partners
 	for name, l := range m.links {
-		quiet := now.Sub(l.lastReceived) > m.opts.ForgetAfter && now.Sub(l.sent) > m.opts.ForgetAfter
-		if quiet && !slices.Contains(targets, name) {
+		unused := now.Sub(l.lastReceived) > m.opts.ForgetAfter && now.Sub(l.lastSent) > m.opts.ForgetAfter
+		if unused && !slices.Contains(partners, name) {
 			delete(m.links, name)
 		}
 	}
 }
 
-// forget removes a member. One that may be alive stays a candidate, so that a split fleet merges
-// again.
-func (m *Machine) forget(name string, e *entry, mayLive bool) {
+// forget removes a member. If it may be alive it remains a join candidate, so that a partitioned
+// fleet merges again.
+func (m *Machine) forget(name string, e *entry, mayBeAlive bool) {
 	m.digest ^= e.Record.digest()
 	delete(m.table, name)
 	delete(m.byID, e.shortID())
 	m.version++
 	m.topologyStale, m.viewStale = true, true
-	m.act(LearnAddress{VM: name})
-	if mayLive && !e.Gone {
-		m.lost = append(m.lost, Candidate{Name: name, Address: e.PeerAddress})
+	m.emit(SetPeerAddress{VM: name})
+	if mayBeAlive && !e.Gone {
+		m.forgotten = append(m.forgotten, Candidate{Name: name, Address: e.PeerAddress})
 	}
 }
--- a/internal/membership/faults_join_test.go
+++ b/internal/membership/faults_join_test.go
@@ -12,7 +12,7 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// Seeds suffice to join while the store refuses calls or is silent.
+// Daemons join through seeds alone while the store rejects calls or does not respond.
 func TestJoinWithTheStoreDown(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		t.Run(fmt.Sprintf("silent %v", silent), func(t *testing.T) {
@@ -27,8 +27,8 @@
 				})
 				var all []*Service
 				for i := range 3 {
-					all = append(all, daemon(t, hub, fmt.Sprintf("vm%d", i), func(c *Config) {
-						seeded("vm0")(c)
+					all = append(all, startService(t, hub, fmt.Sprintf("vm%d", i), func(c *Config) {
+						withSeed("vm0")(c)
 						c.Store = store
 					}))
 				}
@@ -40,7 +40,7 @@
 					}
 				}
 				if store.Calls(platform.OpList) == 0 {
-					t.Error("the store was not asked")
+					t.Error("the store was not called")
 				}
 			})
 		})
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// faultCase is one kind of fault. strike injects it and lets its time pass; want is the final state
-// at the others.
+// faultCase is a kind of fault. inject injects it and runs the simulation while it lasts; want is
+// the state in which all others finally see the victim.
 type faultCase struct {
 	name   string
-	strike func(s *sim, victim string)
+	inject func(s *sim, victim string)
 	want   func(step Step) State
 }
 
-// stays is the final state of a victim whose process survives.
-func stays(step Step) State {
+// stateOfSurvivor returns the final state of a victim whose process survives.
+func stateOfSurvivor(step Step) State {
 	if step == StepLeave {
 		return Leaving
 	}
@@ -23,19 +23,19 @@
 
 func always(state State) func(Step) State { return func(Step) State { return state } }
 
-// during applies a change for a while.
-func during(s *sim, d time.Duration, lose func(from, to string) bool) {
-	s.lose = lose
+// runDropping runs the simulation for d while drop selects the messages that are lost.
+func runDropping(s *sim, d time.Duration, drop func(from, to string) bool) {
+	s.drop = drop
 	s.run(d)
-	s.lose = nil
+	s.drop = nil
 }
 
 func restart(s *sim, victim string, clock time.Duration) {
 	old := s.nodes[victim].self.Record
 	s.crash(victim)
 	s.run(200 * time.Millisecond)
-	s.highest[victim] = 0
-	delete(s.gone, victim)
+	s.highestIncarnation[victim] = 0
+	delete(s.goneIncarnations, victim)
 	r := Record{Name: old.Name, Zone: old.Zone, Region: old.Region, PeerAddress: old.PeerAddress}
 	r.Incarnation = uint64(s.now.Add(clock).UnixMilli()) * incarnationStep
 	s.add(r, "r1-z0-0", "r0-z1-0")
@@ -47,94 +47,94 @@
 	s.paused[victim] = false
 }
 
-// partner is a heartbeat partner of each victim.
+// partner is a heartbeat partner of all victims.
 const partner = "r0-z1-1"
 
 func faultCases() []faultCase {
 	return []faultCase{
 		{"crash", func(s *sim, v string) { s.crash(v) }, always(Gone)},
-		{"pause", func(s *sim, v string) { pause(s, v, 2*time.Second) }, stays},
-		{"long pause", func(s *sim, v string) { pause(s, v, 20*time.Second) }, stays},
+		{"pause", func(s *sim, v string) { pause(s, v, 2*time.Second) }, stateOfSurvivor},
+		{"long pause", func(s *sim, v string) { pause(s, v, 20*time.Second) }, stateOfSurvivor},
 		{"lost request", func(s *sim, v string) {
-			during(s, 600*time.Millisecond, func(from, _ string) bool { return from == v })
-		}, stays},
+			runDropping(s, 600*time.Millisecond, func(from, _ string) bool { return from == v })
+		}, stateOfSurvivor},
 		{"lost answer", func(s *sim, v string) {
-			during(s, 600*time.Millisecond, func(_, to string) bool { return to == v })
-		}, stays},
+			runDropping(s, 600*time.Millisecond, func(_, to string) bool { return to == v })
+		}, stateOfSurvivor},
 		{"delay", func(s *sim, v string) {
 			s.latency = func(string, string) time.Duration { return 500 * time.Millisecond }
 			s.run(2 * time.Second)
 			s.latency = func(string, string) time.Duration { return simStep }
-		}, stays},
+		}, stateOfSurvivor},
 		{"duplicate", func(s *sim, v string) {
-			s.double = 1
+			s.duplicateRate = 1
 			s.run(2 * time.Second)
-			s.double = 0
-		}, stays},
+			s.duplicateRate = 0
+		}, stateOfSurvivor},
 		{"stale", func(s *sim, v string) {
-			s.keep = true
+			s.recording = true
 			s.run(time.Second)
-			s.keep = false
+			s.recording = false
 			s.run(5 * time.Second)
-			for _, p := range s.kept {
-				p.due = s.now
-				s.parcels = append(s.parcels, p)
+			for _, e := range s.recorded {
+				e.deliverAt = s.now
+				s.inFlight = append(s.inFlight, e)
 			}
-		}, stays},
+		}, stateOfSurvivor},
 		{"silent connection", func(s *sim, v string) {
-			during(s, 5*time.Second, lossy([2]string{v, partner}, [2]string{partner, v}))
-		}, stays},
-		{"one way lost", func(s *sim, v string) { during(s, 5*time.Second, lossy([2]string{v, partner})) }, stays},
+			runDropping(s, 5*time.Second, dropBetween([2]string{v, partner}, [2]string{partner, v}))
+		}, stateOfSurvivor},
+		{"one way lost", func(s *sim, v string) { runDropping(s, 5*time.Second, dropBetween([2]string{v, partner})) }, stateOfSurvivor},
 		{"clock off", func(s *sim, v string) { restart(s, v, -time.Hour) }, always(Alive)},
 		{"region cut and pause", func(s *sim, v string) {
-			s.lose = func(from, to string) bool { return from[:2] != to[:2] }
+			s.drop = func(from, to string) bool { return from[:2] != to[:2] }
 			pause(s, v, 5*time.Second)
-			s.lose = nil
-		}, stays},
+			s.drop = nil
+		}, stateOfSurvivor},
 		{"crash and silent connection", func(s *sim, v string) {
 			s.crash(v)
-			during(s, 5*time.Second, lossy([2]string{"r0-z1-0", partner}, [2]string{partner, "r0-z1-0"}))
+			runDropping(s, 5*time.Second, dropBetween([2]string{"r0-z1-0", partner}, [2]string{partner, "r0-z1-0"}))
 		}, always(Gone)},
 	}
 }
 
-// arrive brings a fleet to a step and returns the victim.
-func arrive(s *sim, step Step) (victim string) {
-	s.fleet(3, 2, 2)
+// startAtStep starts a fleet, brings it to a protocol step and returns the victim.
+func startAtStep(s *sim, step Step) (victim string) {
+	s.startFleet(3, 2, 2)
 	victim = "r0-z0-0"
 	switch step {
 	case StepJoin:
 		r := s.record("r0", "z0", 9)
 		victim = r.Name
 		s.add(r, "r1-z0-0", "r0-z1-0")
-		s.run(s.opts.TickInterval + simStep) // its first call is on the way
+		s.run(s.opts.TickInterval + simStep) // its first join request is in flight
 	case StepRelay:
-		victim = relaysOf("r0", s.nodes[victim].byRegion()["r0"])[0]
+		victim = relaysOf("r0", s.nodes[victim].membersByRegion()["r0"])[0]
 	case StepSuspect:
-		s.lose = func(from, _ string) bool { return from == victim }
+		s.drop = func(from, _ string) bool { return from == victim }
 		s.run(s.opts.SuspectAfter + 300*time.Millisecond)
-		s.wantSeen(victim, Suspect)
-		s.lose = nil
+		s.wantStateOf(victim, Suspect)
+		s.drop = nil
 	case StepLeave:
-		s.do(victim, s.nodes[victim].Leave(s.now))
+		s.execute(victim, s.nodes[victim].Leave(s.now))
 	}
 	return victim
 }
 
-// TestFaults injects each fault at each step. Afterwards all members see each other and the victim
-// correctly.
+// TestFaults injects each fault at each protocol step and checks that afterwards all members see each
+// other and the victim in the correct state.
 func TestFaults(t *testing.T) {
 	for _, step := range Steps() {
 		for _, f := range faultCases() {
 			t.Run(step.String()+"/"+f.name, func(t *testing.T) {
 				s := newSim(t, 42)
-				victim := arrive(s, step)
-				f.strike(s, victim)
+				victim := startAtStep(s, step)
+				f.inject(s, victim)
 				s.run(10 * time.Second)
-				s.wantSeen(victim, f.want(step))
+				s.wantStateOf(victim, f.want(step))
 				for _, a := range s.order {
 					if a != victim {
-						s.wantSeen(a, Alive)
+						s.wantStateOf(a, Alive)
 					}
 				}
 			})
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// SetCandidates sets the daemons that may be called to join: seeds and the platform's list. They
-// are hints: only a daemon's own record makes it a member.
+// SetCandidates sets the daemons that may be sent join requests, from the seeds and the platform's
+// list. A candidate becomes a member only through its own record.
 func (m *Machine) SetCandidates(candidates []Candidate) {
 	m.candidates = candidates
 }
 
-// tryJoin calls a candidate: repeatedly while joining, later rarely and only unknown ones, so that
-// a split fleet merges again.
-func (m *Machine) tryJoin(now time.Time) {
-	if now.Before(m.nextTry) || m.phase > PhaseMember {
+// callCandidate sends a join request to a candidate outside the view: every JoinInterval while
+// joining, and every MergeInterval as a member, so that a partitioned fleet merges again.
+func (m *Machine) callCandidate(now time.Time) {
+	if now.Before(m.nextJoin) || m.phase > PhaseMember {
 		return
 	}
-	m.nextTry = now.Add(m.opts.JoinInterval)
+	m.nextJoin = now.Add(m.opts.JoinInterval)
 	if m.phase == PhaseMember {
-		m.nextTry = now.Add(m.jitter(m.opts.MergeInterval))
+		m.nextJoin = now.Add(m.jitter(m.opts.MergeInterval))
 	}
 	if c, ok := m.pickCandidate(); ok {
-		m.act(CallJoin{Candidate: c, Request: JoinRequest{Record: m.self.Record}})
+		m.emit(CallJoin{Candidate: c, Request: JoinRequest{Record: m.self.Record}})
 	}
-	if m.phase == PhaseJoining && now.Sub(m.started) >= m.opts.JoinPatience {
+	if m.phase == PhaseJoining && now.Sub(m.started) >= m.opts.JoinTimeout {
 		m.becomeMember(true)
 	}
 }
 
-// pickCandidate picks a random candidate outside the view.
+// pickCandidate returns a random candidate outside the view.
 func (m *Machine) pickCandidate() (Candidate, bool) {
 	known := make(map[string]bool)
 	for _, e := range m.table {
@@ -38,7 +38,7 @@
 		}
 	}
 	var unknown []Candidate
-	for _, c := range slices.Concat(m.candidates, m.lost) {
+	for _, c := range slices.Concat(m.candidates, m.forgotten) {
 		if !known[c.Address] {
 			unknown = append(unknown, c)
 		}
@@ -51,10 +51,10 @@
 
 func (m *Machine) becomeMember(alone bool) {
 	m.phase = PhaseMember
-	m.act(ReportJoined{Alone: alone})
+	m.emit(ReportJoined{Alone: alone})
 }
 
-// Joined applies the answer to a CallJoin. An answer of this daemon itself is ignored.
+// Joined applies the response to a CallJoin. A response from this daemon itself is ignored.
 func (m *Machine) Joined(now time.Time, answer *JoinAnswer) []Action {
 	m.begin(now)
 	if answer.Name == m.self.Name {
@@ -73,8 +73,8 @@
 	return m.end()
 }
 
-// AnswerJoin answers a joining daemon with the whole table.
-func (m *Machine) AnswerJoin(now time.Time, request *JoinRequest) (*JoinAnswer, []Action) {
+// HandleJoin returns the whole table in response to a joining daemon's request.
+func (m *Machine) HandleJoin(now time.Time, request *JoinRequest) (*JoinAnswer, []Action) {
 	m.begin(now)
 	answer := &JoinAnswer{Name: m.self.Name}
 	if m.phase != PhaseLeft {
@@ -85,8 +85,8 @@
 		answer.Records = append(answer.Records, e.Record)
 	}
 	for _, r := range m.regions {
-		if r.Beat > 0 {
-			answer.Regions = append(answer.Regions, r.RegionNote)
+		if r.Counter > 0 {
+			answer.Regions = append(answer.Regions, r.RegionSummary)
 		}
 	}
 	return answer, m.end()
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -5,106 +5,106 @@
 	"time"
 )
 
-// Candidate is a daemon that may be called to join. The name is empty if unknown.
+// Candidate is a daemon that may be sent a join request. The name is empty if unknown.
 type Candidate struct {
 	Name    string
 	Address string
 }
 
-// entry is one member in the table.
+// entry is a member in the table.
 type entry struct {
 	Record
-	region        uint32     // ID of its region
-	recordVersion uint64     // table version of the record's last change
-	noteVersion   uint64     // table version of the generation's last change
-	recordSource  *linkState // link that the record came from; nil: none
-	noteSource    *linkState // link that the generation came from
-	changed       time.Time  // last change of the state
-	suspectSince  time.Time  // start of the time to refute a suspicion
-	reported      State
-	isReported    bool      // reported is valid
-	lastAlive     time.Time // heartbeat, evidence from others, or a newer Seq
-}
-
-// newest holds the table versions of the last changes.
-type newest struct{ record, note uint64 }
-
-// Machine is the membership protocol of one daemon. It takes events with their time and returns
-// actions. It does no I/O and is not safe for concurrent use.
+	region            uint32     // ID of its region
+	recordVersion     uint64     // table version of the record's last change
+	generationVersion uint64     // table version of the generation's last change
+	recordSource      *linkState // link from which the record was received; nil: none
+	generationSource  *linkState // link from which the generation was received
+	changedAt         time.Time  // last change of the record
+	suspectSince      time.Time  // start of the period in which a suspicion may be refuted
+	reported          State
+	isReported        bool      // reported is valid
+	lastAlive         time.Time // last heartbeat, evidence from others, or newer Seq
+}
+
+// latestVersions holds the table versions of the last changes of any record and any generation.
+type latestVersions struct{ record, generation uint64 }
+
+// Machine is the state machine of the membership protocol of one daemon. It takes events with their
+// times and returns actions. It does no I/O and is not safe for concurrent use.
 type Machine struct {
 	opts   Options
 	random *rand.Rand
 
-	self    *entry
-	epoch   uint64
-	phase   Phase
-	started time.Time
-	last    time.Time // of the last event
+	self      *entry
+	epoch     uint64
+	phase     Phase
+	started   time.Time
+	lastEvent time.Time
 
 	table   map[string]*entry
 	byID    map[uint32]*entry // by short ID
 	version uint64            // increases with each change of the table
-	digest  uint64            // of all records
-	news    newest
+	digest  uint64            // hash of all records
+	latest  latestVersions
 	regions map[uint32]*regionState
 	links   map[string]*linkState
 
-	topology      topology
-	topologyStale bool
-	statesStale   bool
-	viewStale     bool
-	viewLater     bool // the view turns stale with the next tick
-	view          *View
+	topology        topology
+	topologyStale   bool
+	statesStale     bool
+	viewStale       bool
+	viewStaleAtTick bool // set viewStale at the next tick
+	view            *View
 
-	candidates []Candidate
-	lost       []Candidate // forgotten members that may be alive
-	nextTry    time.Time
-	nextExpire time.Time
-	nextNote   time.Time // of the own region, if this daemon is a relay
-	renewedAt  time.Time
+	candidates  []Candidate
+	forgotten   []Candidate // removed members that may still be alive
+	nextJoin    time.Time
+	nextExpire  time.Time
+	nextSummary time.Time // of this daemon's region, if it is a relay
+	renewedAt   time.Time
 
 	actions []Action
 }
 
-// NewMachine returns the machine of a daemon that starts now with the given record.
+// NewMachine returns the state machine of a daemon that starts now with the given record.
 func NewMachine(self Record, opts Options, random *rand.Rand, now time.Time) *Machine {
 	opts.setDefaults()
 	self.Seq = 1
 	self.Process = self.Incarnation
 	m := &Machine{
-		opts:    opts,
-		random:  random,
-		epoch:   self.Incarnation,
-		started: now,
-		last:    now,
-		table:   make(map[string]*entry),
-		byID:    make(map[uint32]*entry),
-		regions: make(map[uint32]*regionState),
-		links:   make(map[string]*linkState),
+		opts:      opts,
+		random:    random,
+		epoch:     self.Incarnation,
+		started:   now,
+		lastEvent: now,
+		table:     make(map[string]*entry),
+		byID:      make(map[uint32]*entry),
+		regions:   make(map[uint32]*regionState),
+		links:     make(map[string]*linkState),
 	}
-	m.self = &entry{Record: self, region: regionID(self.Region), changed: now, lastAlive: now}
+	m.self = &entry{Record: self, region: regionID(self.Region), changedAt: now, lastAlive: now}
 	m.table[self.Name] = m.self
 	m.digest = self.digest()
-	m.touchRecord(m.self, nil)
-	m.touchNote(m.self, nil)
+	m.markRecordChanged(m.self, nil)
+	m.markGenerationChanged(m.self, nil)
 	return m
 }
 
-// Phase returns the phase of this daemon's own membership.
+// Phase returns the phase of this daemon's membership.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Incarnation returns this daemon's incarnation, which may increase.
+// Incarnation returns this daemon's current incarnation, which may increase.
 func (m *Machine) Incarnation() uint64 { return m.self.Incarnation }
 
-// Tick checks all timers. It must be called every TickInterval.
+// Tick processes all timers. It must be called every TickInterval.
 func (m *Machine) Tick(now time.Time) []Action {
 	m.begin(now)
-	m.viewStale = m.viewStale || m.viewLater
-	m.viewLater = false
+	m.viewStale = m.viewStale || m.viewStaleAtTick
+	m.viewStaleAtTick = false
 	if m.phase == PhaseLeft {
 		return m.end()
 	}
-	m.tryJoin(now)
+	m.callCandidate(now)
 	m.detect(now)
 	m.expire(now)
 	m.publishRegion(now)
@@ -112,19 +112,21 @@
 	return m.end()
 }
 
-// begin starts the handling of an event. A gap since the last one was a pause of this process.
+// begin starts the handling of an event. A long gap since the last event means that this process was
+// paused.
 func (m *Machine) begin(now time.Time) {
-	away := now.Sub(m.last)
-	m.last = now
-	if away >= m.opts.PauseAfter {
-		m.awake(now, away)
+	elapsed := now.Sub(m.lastEvent)
+	m.lastEvent = now
+	if elapsed >= m.opts.PauseThreshold {
+		m.resumeAfterPause(now, elapsed)
 	}
 }
 
-// awake restarts all timers after a pause, as the silence was this daemon's own. After a long
-// pause the others hold it for gone, and it takes a new incarnation.
-func (m *Machine) awake(now time.Time, away time.Duration) {
-	m.act(ReportAwake{Away: away})
+// resumeAfterPause restarts all timers, because the apparent silence of the others was caused by this
+// daemon's pause. After a long pause the others consider this daemon gone, so it takes a new
+// incarnation.
+func (m *Machine) resumeAfterPause(now time.Time, paused time.Duration) {
+	m.emit(ReportPause{Duration: paused})
 	for _, e := range m.table {
 		e.lastAlive = now
 		e.suspectSince = now
@@ -133,14 +135,14 @@
 		l.lastReceived = now
 	}
 	for _, r := range m.regions {
-		r.lastNote = now
+		r.lastSummary = now
 	}
-	if away >= m.opts.GoneAfter && m.phase != PhaseLeft {
-		m.renew(m.self.Incarnation, now)
+	if paused >= m.opts.GoneAfter && m.phase != PhaseLeft {
+		m.renewIncarnation(m.self.Incarnation, now)
 	}
 }
 
-// end returns the actions of an event.
+// end completes the handling of an event and returns its actions.
 func (m *Machine) end() []Action {
 	m.reportStates()
 	out := m.actions
@@ -148,23 +150,24 @@
 	return out
 }
 
-func (m *Machine) act(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// touchRecord records a changed record, which spreads over all links except its source.
-func (m *Machine) touchRecord(e *entry, source *linkState) {
+// markRecordChanged assigns a new table version to a changed record, so that it is sent over all
+// links except its source.
+func (m *Machine) markRecordChanged(e *entry, source *linkState) {
 	m.version++
 	m.byID[e.shortID()] = e
-	e.recordVersion, m.news.record = m.version, m.version
+	e.recordVersion, m.latest.record = m.version, m.version
 	e.recordSource = source
 	m.topologyStale = true
 	m.viewStale, m.statesStale = true, true
 }
 
-func (m *Machine) touchNote(e *entry, source *linkState) {
+func (m *Machine) markGenerationChanged(e *entry, source *linkState) {
 	m.version++
-	e.noteVersion, m.news.note = m.version, m.version
-	e.noteSource = source
-	m.viewLater = true
+	e.generationVersion, m.latest.generation = m.version, m.version
+	e.generationSource = source
+	m.viewStaleAtTick = true
 }
 
 // changeSelf changes this daemon's own record.
@@ -174,26 +177,26 @@
 	change(&m.self.Record)
 	m.self.Seq++
 	m.digest ^= m.self.Record.digest()
-	m.self.changed = now
-	m.touchRecord(m.self, nil)
+	m.self.changedAt = now
+	m.markRecordChanged(m.self, nil)
 }
 
-// renew takes an incarnation above the given one.
-func (m *Machine) renew(over uint64, now time.Time) {
+// renewIncarnation takes an incarnation that supersedes both the given and the current one.
+func (m *Machine) renewIncarnation(superseded uint64, now time.Time) {
 	m.renewedAt = now
 	m.changeSelf(now, func(r *Record) {
-		r.Incarnation = above(max(over, r.Incarnation))
+		r.Incarnation = supersedingIncarnation(max(superseded, r.Incarnation))
 		r.Seq = 0
 		r.Suspect, r.Gone = false, false
 	})
-	m.act(ReportRenewed{Incarnation: m.self.Incarnation})
+	m.emit(ReportNewIncarnation{Incarnation: m.self.Incarnation})
 }
 
-// SetGeneration sets the generation of the document in force here.
+// SetGeneration sets the generation and hash of the configuration document in force here.
 func (m *Machine) SetGeneration(now time.Time, generation, hash uint64) []Action {
 	m.begin(now)
 	m.self.Generation, m.self.Hash = generation, hash
-	m.touchNote(m.self, nil)
+	m.markGenerationChanged(m.self, nil)
 	m.viewStale = true
 	return m.end()
 }
@@ -208,7 +211,7 @@
 	return m.end()
 }
 
-// SetTerm sets this daemon's term as granter of rate limits; 0: it is not the granter.
+// SetTerm sets this daemon's term as granter of rate limits; 0: not the granter.
 func (m *Machine) SetTerm(now time.Time, term uint64) []Action {
 	m.begin(now)
 	if m.self.Term != term {
@@ -218,7 +221,7 @@
 	return m.end()
 }
 
-// Leave announces that this daemon drains and takes no new work.
+// Leave announces that this daemon drains and accepts no new requests.
 func (m *Machine) Leave(now time.Time) []Action {
 	m.begin(now)
 	if m.phase < PhaseLeaving {
@@ -229,8 +232,8 @@
 	return m.end()
 }
 
-// Depart announces that this daemon is gone.
-func (m *Machine) Depart(now time.Time) []Action {
+// AnnounceGone announces that this daemon is gone.
+func (m *Machine) AnnounceGone(now time.Time) []Action {
 	m.begin(now)
 	if m.phase != PhaseLeft {
 		m.phase = PhaseLeft
@@ -240,14 +243,14 @@
 	return m.end()
 }
 
-// LeaveKnown reports whether all neighbors have acknowledged the own record.
-func (m *Machine) LeaveKnown() bool {
-	for _, name := range m.currentTopology().targets {
+// LeaveAcknowledged reports whether all reachable partners have acknowledged this daemon's record.
+func (m *Machine) LeaveAcknowledged() bool {
+	for _, name := range m.currentTopology().partners {
 		l := m.links[name]
 		if e := m.table[name]; e == nil || e.Gone || e.Suspect {
 			continue
 		}
-		if l == nil || l.acked < m.self.recordVersion {
+		if l == nil || l.ackedVersion < m.self.recordVersion {
 			return false
 		}
 	}
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// merge applies a record from a peer.
+// merge applies a record received from a peer.
 func (m *Machine) merge(r *Record, source *linkState, now time.Time) {
 	if r.Name == m.self.Name {
 		m.mergeSelf(r, now)
@@ -21,16 +21,16 @@
 }
 
 func (m *Machine) add(r *Record, source *linkState, now time.Time) {
-	e := &entry{Record: *r, region: regionID(r.Region), changed: now, suspectSince: now, lastAlive: now}
+	e := &entry{Record: *r, region: regionID(r.Region), changedAt: now, suspectSince: now, lastAlive: now}
 	m.table[r.Name] = e
 	m.digest ^= r.digest()
-	m.touchRecord(e, source)
-	m.learnAddress(e, "")
-	m.recordRegion(e.region, now)
+	m.markRecordChanged(e, source)
+	m.updateAddress(e, "")
+	m.startRegionTimer(e.region, now)
 }
 
 func (m *Machine) replace(e *entry, r *Record, source *linkState, now time.Time) {
-	address := e.PeerAddress
+	oldAddress := e.PeerAddress
 	m.digest ^= e.Record.digest()
 	delete(m.byID, e.shortID())
 	generation, hash := r.Generation, r.Hash
@@ -42,42 +42,42 @@
 	}
 	e.Record, e.region = *r, regionID(r.Region)
 	e.Generation, e.Hash = generation, hash
-	e.changed, e.suspectSince = now, now
+	e.changedAt, e.suspectSince = now, now
 	m.digest ^= e.Record.digest()
-	m.touchRecord(e, source)
-	m.learnAddress(e, address)
+	m.markRecordChanged(e, source)
+	m.updateAddress(e, oldAddress)
 }
 
-func (m *Machine) learnAddress(e *entry, before string) {
-	if e.PeerAddress != before && !e.Gone {
-		m.act(LearnAddress{VM: e.Name, Address: e.PeerAddress})
+func (m *Machine) updateAddress(e *entry, oldAddress string) {
+	if e.PeerAddress != oldAddress && !e.Gone {
+		m.emit(SetPeerAddress{VM: e.Name, Address: e.PeerAddress})
 	}
 }
 
-// mergeGeneration applies a member's generation.
+// mergeGeneration applies a generation received for a member, if it is newer.
 func (m *Machine) mergeGeneration(e *entry, incarnation, generation, hash uint64, source *linkState) {
 	if e == m.self || incarnation != e.Incarnation || generation <= e.Generation {
 		return
 	}
 	e.Generation, e.Hash = generation, hash
-	m.touchNote(e, source)
+	m.markGenerationChanged(e, source)
 }
 
-// renewPause bounds how often a daemon renews its incarnation, in case two processes run under one
-// VM name.
-const renewPause = time.Second
+// minRenewInterval limits how often a daemon renews its incarnation. Without it, two processes under
+// one VM name would keep superseding each other.
+const minRenewInterval = time.Second
 
-// mergeSelf answers records about this daemon: a higher Seq refutes a suspicion, a higher
-// incarnation supersedes a surpassed or gone one.
+// mergeSelf responds to records about this daemon. It refutes a suspicion by a higher Seq, and
+// renews the incarnation if the current one is superseded or gone.
 func (m *Machine) mergeSelf(r *Record, now time.Time) {
 	if m.phase == PhaseLeft {
 		return
 	}
 	own := &m.self.Record
-	surpassed := r.Incarnation > own.Incarnation || r.Incarnation == own.Incarnation && r.Gone
+	superseded := r.Incarnation > own.Incarnation || r.Incarnation == own.Incarnation && r.Gone
 	switch {
-	case surpassed && now.Sub(m.renewedAt) >= renewPause:
-		m.renew(r.Incarnation, now)
+	case superseded && now.Sub(m.renewedAt) >= minRenewInterval:
+		m.renewIncarnation(r.Incarnation, now)
 	case r.Incarnation == own.Incarnation && !r.Gone && (r.Suspect && r.Seq >= own.Seq || r.Seq > own.Seq):
 		m.changeSelf(now, func(own *Record) { own.Seq = r.Seq })
 	}
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -1,65 +1,66 @@
 package membership
 
-// Heartbeat is the one-way message of peer.KindHeartbeat: the sender's state, when it last
-// received from the receiver, and its table's changes since the receiver's acknowledgment.
+// Heartbeat is the one-way message of peer.KindHeartbeat. It contains the sender's state, the time
+// since it last received a heartbeat from the receiver, and the changes of its table that the
+// receiver has not acknowledged.
 type Heartbeat struct {
-	Epoch      uint64 // first incarnation of the sender's process; versions belong to it
-	Renewed    uint64 // sender's incarnation above Epoch
-	Generation uint64 // of the document that the sender has in force
-	Hash       uint64 // of that document
-	TableHash  uint32 // of the sender's records
+	Epoch             uint64 // first incarnation of the sender's process; identifies its sequence of table versions
+	IncarnationOffset uint64 // sender's incarnation minus Epoch
+	Generation        uint64 // of the configuration document that the sender has in force
+	Hash              uint64 // of that document
+	TableHash         uint32 // of the sender's records
 
-	Wanted        bool   // the receiver is a partner of the sender
-	ReceivedAgoMS uint32 // since the last heartbeat of the receiver; or neverReceived
+	ExpectsHeartbeats bool   // the receiver is a heartbeat partner of the sender
+	ReceivedAgoMS     uint32 // time since the receiver's last heartbeat, or neverReceived
 
-	AckEpoch uint32 // lower bits of the receiver's epoch that Ack belongs to
-	Ack      uint64 // version of the receiver's table that the sender has
-	Base     uint64 // the changes are those after this version of the sender's table
-	Version  uint64 // ... and up to this one
+	AckEpoch uint32 // lower bits of the receiver's epoch to which Ack belongs
+	Ack      uint64 // version of the receiver's table that the sender has merged
+	Base     uint64 // version of the sender's table after which the changes begin
+	Version  uint64 // version of the sender's table up to which the changes are included
 
-	Records []Record
-	Notes   []Note
-	Regions []RegionNote
+	Records           []Record
+	GenerationUpdates []GenerationUpdate
+	Regions           []RegionSummary
 
-	Probes   []string        // members that the sender asks evidence for
-	Evidence []AliveEvidence // for the receiver's probes
+	Probes   []string        // members for which the sender requests evidence
+	Evidence []AliveEvidence // answers to the receiver's probes
 }
 
 // Incarnation returns the sender's incarnation.
-func (h *Heartbeat) Incarnation() uint64 { return h.Epoch + h.Renewed }
+func (h *Heartbeat) Incarnation() uint64 { return h.Epoch + h.IncarnationOffset }
 
-// neverReceived is the ReceivedAgoMS without any heartbeat of the receiver.
+// neverReceived is the value of ReceivedAgoMS if no heartbeat was received.
 const neverReceived = 1<<32 - 1
 
-// Note lists the members of the sender's region with a generation, by short ID.
-type Note struct {
+// GenerationUpdate lists, by short ID, members of the sender's region that have a generation in force.
+type GenerationUpdate struct {
 	Generation uint64
 	Members    []uint32
 }
 
-// RegionNote is a region's summary by its relays.
-type RegionNote struct {
+// RegionSummary summarizes the generations in a region. The region's relays publish it.
+type RegionSummary struct {
 	Region     uint32   // ID of the region
-	Beat       uint64   // increases with each note
-	Generation uint64   // that all members have at least
-	Except     []uint32 // other members, by short ID
+	Counter    uint64   // increases with each summary
+	Generation uint64   // minimum generation of all members except Exceptions
+	Exceptions []uint32 // members with a lower generation, by short ID
 }
 
-// AliveEvidence is the age of the last heartbeat that the sender received from a member.
+// AliveEvidence states the age of the last heartbeat that the sender received from a member.
 type AliveEvidence struct {
 	Name        string
 	Incarnation uint64
 	AgeMS       uint32
 }
 
-// JoinRequest is the message of peer.KindJoin, a call.
+// JoinRequest is the request of the peer.KindJoin call.
 type JoinRequest struct {
 	Record Record
 }
 
-// JoinAnswer is the answer to a JoinRequest.
+// JoinAnswer is the response to a JoinRequest.
 type JoinAnswer struct {
-	Name    string // of the daemon that answers
+	Name    string // of the responding daemon
 	Records []Record
-	Regions []RegionNote
+	Regions []RegionSummary
 }
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Options are the timings and limits of the protocol, equal on all daemons. Zero values mean the
-// defaults.
+// Options holds the timings and limits of the protocol. They must be equal on all daemons. Zero
+// values are replaced by defaults.
 type Options struct {
 	HeartbeatInterval time.Duration // between heartbeats to a neighbor in the region
 	RelayInterval     time.Duration // between heartbeats of relays to other regions
-	RegionInterval    time.Duration // between the notes of a region
+	RegionInterval    time.Duration // between summaries of a region
 	TickInterval      time.Duration // between checks of the timers
-	ProbeAfter        time.Duration // without a neighbor's heartbeat it is probed indirectly
-	SuspectAfter      time.Duration // ... it is suspect
-	GoneAfter         time.Duration // ... it is gone
-	RegionAfter       time.Duration // without a note of another region its members are suspect
-	ForgetAfter       time.Duration // ... they are removed
-	TombstoneAfter    time.Duration // the incarnation of a gone member is kept so long
-	PauseAfter        time.Duration // gap between ticks that counts as a pause
+	ProbeAfter        time.Duration // silence of a neighbor after which it is probed indirectly
+	SuspectAfter      time.Duration // silence of a neighbor after which it is suspect
+	GoneAfter         time.Duration // silence of a neighbor after which it is gone
+	RegionAfter       time.Duration // time without a summary after which another region's members are suspect
+	ForgetAfter       time.Duration // time without a summary after which another region's members are removed
+	TombstoneTTL      time.Duration // retention of the record of a gone member
+	PauseThreshold    time.Duration // gap between ticks that counts as a pause
 	JoinInterval      time.Duration // between attempts to join
-	JoinPatience      time.Duration // without an answer a daemon starts alone after it
-	MergeInterval     time.Duration // between calls of candidates outside the view
-	MeshSize          int           // members up to which a region is a full mesh
-	MaxRecords        int           // limit of records in one heartbeat
+	JoinTimeout       time.Duration // time without a response after which a daemon starts alone
+	MergeInterval     time.Duration // between calls to candidates outside the view
+	MeshSize          int           // maximum size of a region whose members form a full mesh
+	MaxRecords        int           // maximum number of changes in one heartbeat
 }
 
 // Defaults of Options.
@@ -34,10 +34,10 @@
 	defaultGoneAfter         = 3 * time.Second
 	defaultRegionAfter       = 7 * time.Second
 	defaultForgetAfter       = 10 * time.Minute
-	defaultTombstoneAfter    = 15 * time.Minute
-	defaultPauseAfter        = time.Second
+	defaultTombstoneTTL      = 15 * time.Minute
+	defaultPauseThreshold    = time.Second
 	defaultJoinInterval      = 500 * time.Millisecond
-	defaultJoinPatience      = 2 * time.Second
+	defaultJoinTimeout       = 2 * time.Second
 	defaultMergeInterval     = 10 * time.Second
 	defaultMeshSize          = 10
 	defaultMaxRecords        = 500
@@ -50,7 +50,7 @@
 	}
 }
 
-// WithDefaults returns the options with defaults in place of zero values.
+// WithDefaults returns a copy of the options in which defaults replace zero values.
 func (o Options) WithDefaults() Options {
 	o.setDefaults()
 	return o
@@ -66,10 +66,10 @@
 	orDefault(&o.GoneAfter, defaultGoneAfter)
 	orDefault(&o.RegionAfter, defaultRegionAfter)
 	orDefault(&o.ForgetAfter, defaultForgetAfter)
-	orDefault(&o.TombstoneAfter, defaultTombstoneAfter)
-	orDefault(&o.PauseAfter, defaultPauseAfter)
+	orDefault(&o.TombstoneTTL, defaultTombstoneTTL)
+	orDefault(&o.PauseThreshold, defaultPauseThreshold)
 	orDefault(&o.JoinInterval, defaultJoinInterval)
-	orDefault(&o.JoinPatience, defaultJoinPatience)
+	orDefault(&o.JoinTimeout, defaultJoinTimeout)
 	orDefault(&o.MergeInterval, defaultMergeInterval)
 	orDefault(&o.MeshSize, defaultMeshSize)
 	orDefault(&o.MaxRecords, defaultMaxRecords)
--- a/internal/membership/phase.go
+++ b/internal/membership/phase.go
@@ -1,14 +1,14 @@
 package membership
 
-// Phase is the phase of this daemon's own membership.
+// Phase is the phase of this daemon's membership.
 type Phase uint8
 
 // The phases, in order.
 const (
 	PhaseJoining Phase = iota // requests another daemon's table
 	PhaseMember
-	PhaseLeaving // announced that it drains
-	PhaseLeft    // announced that it is gone
+	PhaseLeaving // has announced that it drains
+	PhaseLeft    // has announced that it is gone
 )
 
 // String returns the name used in status and logs.
@@ -16,19 +16,19 @@
 	return [...]string{"joining", "member", "leaving", "left"}[p]
 }
 
-// Step is a step of the protocol, for fault injection.
+// Step is a protocol step at which tests inject faults.
 type Step uint8
 
 // The steps of the protocol.
 const (
-	StepJoin      Step = iota // another daemon's table is requested
-	StepHeartbeat             // heartbeats within the region
-	StepRelay                 // heartbeats of relays between regions
+	StepJoin      Step = iota // a joining daemon requests another daemon's table
+	StepHeartbeat             // heartbeats within a region
+	StepRelay                 // heartbeats between the relays of regions
 	StepSuspect               // a silent member is suspect
-	StepLeave                 // a member announces that it leaves
+	StepLeave                 // a member announces that it is leaving
 )
 
-// String returns the name used in tests and pages.
+// String returns the name used in tests and documentation.
 func (s Step) String() string {
 	return [...]string{"join", "heartbeat", "relay", "suspect", "leave"}[s]
 }
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -12,58 +12,58 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// fixed returns parameters with a fixed seed.
-func fixed(tests int) *gopter.TestParameters {
+// seededParameters returns test parameters with a fixed seed.
+func seededParameters(tests int) *gopter.TestParameters {
 	p := gopter.DefaultTestParametersWithSeed(20260101)
 	p.MinSuccessfulTests = tests
 	return p
 }
 
-// trouble injects random faults for a while.
-func trouble(s *sim, random *rand.Rand) {
+// injectRandomFaults injects six random faults for random durations and then ends all of them.
+func injectRandomFaults(s *sim, random *rand.Rand) {
 	pick := func() string { return s.order[random.IntN(len(s.order))] }
 	for range 6 {
 		a, b := pick(), pick()
 		switch random.IntN(7) {
 		case 0:
-			s.lose = lossy([2]string{a, b})
+			s.drop = dropBetween([2]string{a, b})
 		case 1:
-			s.lose = func(from, to string) bool { return (from == a) != (to == a) }
+			s.drop = func(from, to string) bool { return (from == a) != (to == a) }
 		case 2:
-			s.lose = func(from, to string) bool { return from[:2] != to[:2] }
+			s.drop = func(from, to string) bool { return from[:2] != to[:2] }
 		case 3:
 			s.paused[a] = !s.paused[a]
 		case 4:
-			s.double = random.Float64()
+			s.duplicateRate = random.Float64()
 		case 5:
 			if a != "r1-z0-0" && a != "r0-z1-0" {
 				restart(s, a, -time.Duration(random.IntN(3))*time.Hour)
 			}
 		case 6:
-			s.lose = func(string, string) bool { return s.random.Float64() < 0.3 }
+			s.drop = func(string, string) bool { return s.random.Float64() < 0.3 }
 		}
 		s.run(time.Duration(random.IntN(6000)) * time.Millisecond)
 	}
-	s.lose, s.double = nil, 0
+	s.drop, s.duplicateRate = nil, 0
 	clear(s.paused)
 }
 
-// TestViewsConverge: after any faults all members see each other alive. The simulation checks that
-// no incarnation decreases and none returns from gone.
+// TestViewsConverge checks that all members see each other alive after random faults. The simulation
+// also checks that no incarnation decreases or returns from gone.
 func TestViewsConverge(t *testing.T) {
-	properties := gopter.NewProperties(fixed(40))
+	properties := gopter.NewProperties(seededParameters(40))
 	properties.Property("views converge after faults", prop.ForAll(func(seed uint64) bool {
 		s := newSim(t, seed)
-		s.fleet(2, 2, 2)
-		trouble(s, rand.New(rand.NewPCG(seed, 2)))
+		s.startFleet(2, 2, 2)
+		injectRandomFaults(s, rand.New(rand.NewPCG(seed, 2)))
 		s.run(20 * time.Second)
-		s.wantAll(Alive)
+		s.wantAllStates(Alive)
 		return !t.Failed()
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-// records generates records of one member.
+// records generates random records of one member.
 func records() gopter.Gen {
 	return gen.SliceOfN(6, gen.UInt64Range(0, 1<<10)).Map(func(bits []uint64) []Record {
 		var out []Record
@@ -76,7 +76,8 @@
 	})
 }
 
-// TestMergeOrderDoesNotMatter: records merged in any order and repeatedly give the same table.
+// TestMergeOrderDoesNotMatter checks that records merged in any order, and repeatedly, result in the
+// same table.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	merged := func(records []Record, order []int) Record {
 		now := time.Unix(0, 0)
@@ -86,17 +87,18 @@
 		}
 		return m.table["x"].Record
 	}
-	properties := gopter.NewProperties(fixed(500))
-	properties.Property("merge is a join", prop.ForAll(func(records []Record, seed uint64) bool {
+	properties := gopter.NewProperties(seededParameters(500))
+	properties.Property("merge is commutative and idempotent", prop.ForAll(func(records []Record, seed uint64) bool {
 		order := rand.New(rand.NewPCG(seed, 1)).Perm(len(records))
-		straight := merged(records, []int{0, 1, 2, 3, 4, 5})
-		return straight == merged(records, order) && straight == merged(records, append(order, order...))
+		inOrder := merged(records, []int{0, 1, 2, 3, 4, 5})
+		return inOrder == merged(records, order) && inOrder == merged(records, append(order, order...))
 	}, records(), gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-// TestNeighborsAreMutualAndNear: changes reach a region in few hops.
-func TestNeighborsAreMutualAndNear(t *testing.T) {
+// TestNeighborsAreMutualWithinFewHops checks that the neighbor relation is symmetric and that changes
+// reach all members of a region in few hops.
+func TestNeighborsAreMutualWithinFewHops(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 10, 11, 12, 67, 155, 300} {
 		var ring []*entry
 		for i := range n {
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -7,28 +7,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Record describes one member. Only the member itself writes it, except Suspect and Gone.
+// Record describes one member. Only the member itself changes it, except for Suspect and Gone, which
+// other daemons may set.
 type Record struct {
 	Name          string
 	Zone          string
 	Region        string
 	PeerAddress   string
 	CallerAddress string
-	Cores         float64 // processor time; 0: not known
+	Cores         float64 // CPU time of the VM, in cores; 0: unknown
 	Incarnation   uint64
 	Process       uint64 // first incarnation of the process
 	Seq           uint64 // increased by the member with each change and to refute a suspicion
 	Leaving       bool
-	Suspect       bool // silent; refuted by a higher Seq
+	Suspect       bool // heartbeats are missing; refuted by a higher Seq
 	Gone          bool // final for this incarnation
 	Generation    uint64
 	Hash          uint64
-	RefusesKeys   bool   // refuses requests with keys, as its document may be outdated
-	Term          uint64 // as granter of rate limits; 0: it is not the granter
+	RefusesKeys   bool   // refuses requests with keys, because its document may be outdated
+	Term          uint64 // term as granter of rate limits; 0: not the granter
 }
 
-// supersedes reports whether r is newer than old, by incarnation, Gone, Seq and Suspect. The order
-// is total up to Generation and Hash, so that tables converge in any order of arrival.
+// supersedes reports whether r is newer than old, by Incarnation, Gone, Seq and Suspect in this
+// order. Apart from Generation and Hash the order is total, so that tables converge regardless of
+// the order in which records arrive.
 func (r *Record) supersedes(old *Record) bool {
 	switch {
 	case r.Incarnation != old.Incarnation:
@@ -41,7 +43,7 @@
 	return r.Suspect && !old.Suspect
 }
 
-// state maps the record to the state of the view.
+// state returns the member state that the record expresses.
 func (r *Record) state() State {
 	switch {
 	case r.Gone:
@@ -54,8 +56,8 @@
 	return Alive
 }
 
-// digest is the record's part of the table hash. Gone records are excluded, as daemons forget them
-// at different times.
+// digest returns the record's contribution to the table hash. Gone records are excluded because
+// daemons forget them at different times.
 func (r *Record) digest() uint64 {
 	if r.Gone {
 		return 0
@@ -72,22 +74,25 @@
 // digestPrime is an odd constant that mixes all bits.
 const digestPrime = 0x9e3779b97f4a7c15
 
-// shortID identifies a member in notes. Region summaries correct the rare collisions.
+// shortID identifies a member in generation updates and region summaries. Collisions are rare;
+// region summaries correct their effects.
 func (r *Record) shortID() uint32 {
 	return uint32((xxhash.Sum64String(r.Name) ^ r.Incarnation) * digestPrime >> 32)
 }
 
-// regionID identifies a region in notes.
+// regionID identifies a region in its summary.
 func regionID(region string) uint32 { return uint32(xxhash.Sum64String(region)) }
 
-// incarnationStep separates incarnations of a VM name. The lower bits are random.
+// incarnationStep is the minimum distance of successive incarnations of a VM name. The lower bits
+// are random.
 const incarnationStep = 1 << 16
 
-// NewIncarnation returns the incarnation of a process that starts now: wall clock milliseconds and
-// random bits. If the clock went back, joining raises it above the earlier one.
+// NewIncarnation returns the incarnation of a process that starts now: wall clock milliseconds
+// followed by random bits. If the clock was set back, joining raises the incarnation above that of
+// the previous process.
 func NewIncarnation(now time.Time) uint64 {
 	return uint64(now.UnixMilli())*incarnationStep + rand.Uint64N(incarnationStep)
 }
 
-// above returns an incarnation that supersedes inc.
-func above(inc uint64) uint64 { return inc + incarnationStep }
+// supersedingIncarnation returns an incarnation higher than inc.
+func supersedingIncarnation(inc uint64) uint64 { return inc + incarnationStep }
--- a/internal/membership/region.go
+++ b/internal/membership/region.go
@@ -5,75 +5,77 @@
 	"time"
 )
 
-// maxExceptions bounds the members listed in Except.
+// maxExceptions is the maximum number of members listed in RegionSummary.Exceptions.
 const maxExceptions = 8
 
-// regionState is the state of one region.
+// regionState is the state of a region.
 type regionState struct {
-	RegionNote
-	lastNote time.Time // of the last note
-	changed  time.Time // last change of content
-	silent   bool
-	version  uint64
-	source   *linkState
+	RegionSummary
+	lastSummary time.Time // receipt of the last summary
+	changedAt   time.Time // last change of the summary's content
+	silent      bool
+	version     uint64
+	source      *linkState
 }
 
 func (m *Machine) region(id uint32) *regionState {
 	r, ok := m.regions[id]
 	if !ok {
-		r = &regionState{RegionNote: RegionNote{Region: id}}
+		r = &regionState{RegionSummary: RegionSummary{Region: id}}
 		m.regions[id] = r
 	}
 	return r
 }
 
-// recordRegion starts a region's timer with its first member.
-func (m *Machine) recordRegion(id uint32, now time.Time) {
-	if r := m.region(id); r.lastNote.IsZero() {
-		r.lastNote = now
+// startRegionTimer starts the silence timer of a region when its first member becomes known.
+func (m *Machine) startRegionTimer(id uint32, now time.Time) {
+	if r := m.region(id); r.lastSummary.IsZero() {
+		r.lastSummary = now
 	}
 }
 
-// publishRegion lets a relay publish its region's note once an interval. Beats start at the wall
-// clock, so that they increase across restarts of a region.
+// publishRegion publishes the summary of this daemon's region every RegionInterval if the daemon is
+// a relay. Counters start at the wall clock in seconds, so that they increase across restarts of a
+// whole region.
 func (m *Machine) publishRegion(now time.Time) {
 	if m.phase == PhaseJoining || !m.currentTopology().relay {
 		return
 	}
 	r := m.region(m.self.region)
-	early := m.news.note > r.version && now.Sub(r.changed) >= m.opts.RegionInterval/earlyNotes
-	if now.Before(m.nextNote) && !early {
+	publishEarly := m.latest.generation > r.version && now.Sub(r.changedAt) >= m.opts.RegionInterval/maxEarlySummaries
+	if now.Before(m.nextSummary) && !publishEarly {
 		return
 	}
-	note := RegionNote{Region: m.self.region, Beat: max(r.Beat+1, uint64(now.Unix()))}
-	note.Generation, note.Except = m.summarize()
-	if now.Before(m.nextNote) && note.sameAs(&r.RegionNote) {
+	summary := RegionSummary{Region: m.self.region, Counter: max(r.Counter+1, uint64(now.Unix()))}
+	summary.Generation, summary.Exceptions = m.summarize()
+	if now.Before(m.nextSummary) && summary.sameAs(&r.RegionSummary) {
 		return
 	}
-	m.nextNote = now.Add(m.opts.RegionInterval)
-	m.setNote(r, &note, nil, now)
+	m.nextSummary = now.Add(m.opts.RegionInterval)
+	m.setSummary(r, &summary, nil, now)
 }
 
-// earlyNotes is the number of notes within an interval while the generation changes.
-const earlyNotes = 4
+// maxEarlySummaries is the maximum number of summaries per RegionInterval while generations change.
+const maxEarlySummaries = 4
 
-// sameAs reports whether two notes have the same content.
-func (n *RegionNote) sameAs(o *RegionNote) bool {
-	return n.Generation == o.Generation && slices.Equal(n.Except, o.Except)
+// sameAs reports whether two summaries have the same content.
+func (s *RegionSummary) sameAs(o *RegionSummary) bool {
+	return s.Generation == o.Generation && slices.Equal(s.Exceptions, o.Exceptions)
 }
 
-func (m *Machine) setNote(r *regionState, n *RegionNote, source *linkState, now time.Time) {
-	if !n.sameAs(&r.RegionNote) {
-		r.changed = now
+func (m *Machine) setSummary(r *regionState, summary *RegionSummary, source *linkState, now time.Time) {
+	if !summary.sameAs(&r.RegionSummary) {
+		r.changedAt = now
 	}
-	r.RegionNote = *n
-	r.lastNote = now
+	r.RegionSummary = *summary
+	r.lastSummary = now
 	m.version++
 	r.version, r.source = m.version, source
 }
 
-// summarize returns the highest generation that all members of the region have, except few.
-func (m *Machine) summarize() (generation uint64, except []uint32) {
+// summarize returns the highest generation in the region and the members that do not have it yet. If
+// there are more than maxExceptions of those, it returns the lowest generation instead.
+func (m *Machine) summarize() (generation uint64, exceptions []uint32) {
 	lowest := m.self.Generation
 	for _, e := range m.currentTopology().ring {
 		generation = max(generation, e.Generation)
@@ -81,41 +83,41 @@
 	}
 	for _, e := range m.currentTopology().ring {
 		if e.Generation < generation {
-			except = append(except, e.shortID())
+			exceptions = append(exceptions, e.shortID())
 		}
 	}
-	if len(except) > maxExceptions {
+	if len(exceptions) > maxExceptions {
 		return lowest, nil
 	}
-	return generation, except
+	return generation, exceptions
 }
 
-// applyRegion applies a region's note.
-func (m *Machine) applyRegion(n *RegionNote, source *linkState, now time.Time) {
-	r := m.region(n.Region)
-	if n.Beat <= r.Beat {
+// applyRegion applies a region's summary, if it is newer than the known one.
+func (m *Machine) applyRegion(summary *RegionSummary, source *linkState, now time.Time) {
+	r := m.region(summary.Region)
+	if summary.Counter <= r.Counter {
 		return
 	}
-	m.setNote(r, n, source, now)
+	m.setSummary(r, summary, source, now)
 	if r.silent {
 		r.silent = false
 		m.viewStale, m.statesStale = true, true
 	}
-	if n.Region == m.self.region {
+	if summary.Region == m.self.region {
 		return
 	}
 	for _, e := range m.table {
-		if e.region == n.Region && !e.Gone && e.Generation < n.Generation && !slices.Contains(n.Except, e.shortID()) {
-			e.Generation, e.Hash = n.Generation, 0
-			m.viewLater = true
+		if e.region == summary.Region && !e.Gone && e.Generation < summary.Generation && !slices.Contains(summary.Exceptions, e.shortID()) {
+			e.Generation, e.Hash = summary.Generation, 0
+			m.viewStaleAtTick = true
 		}
 	}
 }
 
-// detectRegions marks silent regions.
+// detectRegions marks the regions whose summaries have been missing for RegionAfter as silent.
 func (m *Machine) detectRegions(now time.Time) {
 	for id, r := range m.regions {
-		silent := id != m.self.region && now.Sub(r.lastNote) >= m.opts.RegionAfter
+		silent := id != m.self.region && now.Sub(r.lastSummary) >= m.opts.RegionAfter
 		if silent != r.silent {
 			r.silent = silent
 			m.viewStale, m.statesStale = true, true
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -15,42 +15,42 @@
 	"masticturn/internal/telemetry"
 )
 
-// ServiceName is the name under which the kernel knows membership.
+// ServiceName is the name under which the service is registered in the kernel.
 const ServiceName = "membership"
 
-// Config is what a Service needs.
+// Config holds the configuration and dependencies of a Service.
 type Config struct {
-	Self    Member   // Name, Zone, Region, the addresses and Incarnation are used
+	Self    Member   // only Name, Zone, Region, the addresses, Cores and Incarnation are used
 	Seeds   []string // host:port of some peer listeners
 	Options Options
 	Network peer.Network
-	Store   platform.Store // for the list of VMs; may be nil
+	Store   platform.Store // contains the list of VMs; may be nil
 	Logger  *telemetry.Logger
 	Metrics *metrics.Set // may be nil
 }
 
-// Service runs a Machine over a peer network.
+// Service runs the membership protocol over a peer network.
 type Service struct {
-	cfg  Config
-	wake chan struct{} // signals a new view
-
-	mu      sync.Mutex
-	machine *Machine
-	hints   []Candidate
-
-	loggedFaults map[string]platform.Version // invalid records by name; used by pollHints
-	badRecords   *metrics.Counter
-
-	view    atomic.Pointer[View]
-	ready   atomic.Bool
-	beat    atomic.Int64 // of the last event, as time since start
-	start   time.Time
-	subs    subscribers[*View]
-	awakes  subscribers[time.Duration]
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
-	started bool
+	cfg         Config
+	viewChanged chan struct{} // signals a new view
+
+	mu        sync.Mutex
+	machine   *Machine
+	listedVMs []Candidate
+
+	loggedInvalid  map[string]platform.Version // logged versions of invalid records by name; used only by pollVMList
+	invalidRecords *metrics.Counter
+
+	view       atomic.Pointer[View]
+	ready      atomic.Bool
+	lastEvent  atomic.Int64 // time of the last event, as a duration since start
+	start      time.Time
+	viewSubs   subscribers[*View]
+	resumeSubs subscribers[time.Duration]
+	ctx        context.Context
+	cancel     context.CancelFunc
+	wg         sync.WaitGroup
+	started    bool
 }
 
 var (
@@ -58,8 +58,7 @@
 	_ kernel.Service = (*Service)(nil)
 )
 
-// NewService returns a service that is not started. Its view holds this daemon
-// only.
+// NewService returns a service that is not started yet. Its view contains only this daemon.
 func NewService(cfg Config) *Service {
 	cfg.Options.setDefaults()
 	if cfg.Self.Incarnation == 0 {
@@ -68,11 +67,11 @@
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewSet()
 	}
-	s := &Service{cfg: cfg, wake: make(chan struct{}, 1), start: time.Now()}
+	s := &Service{cfg: cfg, viewChanged: make(chan struct{}, 1), start: time.Now()}
 	s.machine = NewMachine(cfg.record(), cfg.Options, newRandom(), s.start)
 	s.view.Store(s.machine.View())
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.register()
+	s.registerHandlers()
 	return s
 }
 
@@ -87,11 +86,11 @@
 	}
 }
 
-// register puts the handlers and gauges in place.
-func (s *Service) register() {
+// registerHandlers registers message handlers and metrics.
+func (s *Service) registerHandlers() {
 	s.cfg.Network.Handle(peer.KindHeartbeat, s.handleHeartbeat)
 	s.cfg.Network.Handle(peer.KindJoin, s.handleJoin)
-	s.badRecords = s.cfg.Metrics.GetOrCreateCounter(`masticturn_objects_unreadable_total{kind="` + string(platform.KindVM) + `"}`)
+	s.invalidRecords = s.cfg.Metrics.GetOrCreateCounter(`masticturn_objects_unreadable_total{kind="` + string(platform.KindVM) + `"}`)
 	for _, state := range []State{Alive, Suspect, Leaving} {
 		s.cfg.Metrics.NewGauge(`masticturn_members{state="`+state.String()+`"}`, func() float64 {
 			return float64(s.View().Count(state))
@@ -99,17 +98,17 @@
 	}
 }
 
-// Provision does nothing: the dependencies are given to NewService.
+// Provision does nothing: NewService receives all dependencies.
 func (s *Service) Provision(*kernel.Kernel) error { return nil }
 
-// Start begins to join. It does not wait for other daemons; see Ready.
+// Start begins joining. It does not wait for other daemons; see Ready.
 func (s *Service) Start(context.Context) error {
 	s.started = true
 	s.setCandidates()
 	s.wg.Go(s.tick)
 	s.wg.Go(s.publish)
 	if s.cfg.Store != nil {
-		s.wg.Go(s.pollHints)
+		s.wg.Go(s.pollVMList)
 	}
 	return nil
 }
@@ -117,9 +116,9 @@
 // Drain calls Leave, which is idempotent.
 func (s *Service) Drain(ctx context.Context) error { return s.Leave(ctx) }
 
-// Stop announces that this daemon is gone and ends.
+// Stop announces that this daemon is gone and stops the service.
 func (s *Service) Stop(context.Context) error {
-	s.handle(func(now time.Time) []Action { return s.machine.Depart(now) })
+	s.handle(func(now time.Time) []Action { return s.machine.AnnounceGone(now) })
 	s.cancel()
 	s.wg.Wait()
 	return nil
@@ -128,30 +127,32 @@
 // View returns the current view.
 func (s *Service) View() *View { return s.view.Load() }
 
-// Subscribe calls f after each change, in order, from one goroutine.
-func (s *Service) Subscribe(f func(*View)) (cancel func()) { return s.subs.add(f) }
+// Subscribe implements Source.
+func (s *Service) Subscribe(f func(*View)) (cancel func()) { return s.viewSubs.add(f) }
 
-// OnAwake calls f after a pause of this process, with its length, before any state is used. f must
-// not block, and may call only View.
-func (s *Service) OnAwake(f func(away time.Duration)) (cancel func()) { return s.awakes.add(f) }
+// OnResume registers f to be called after a pause of this process with the length of the pause, before
+// any later event is handled. f must not block and may call no other method than View.
+func (s *Service) OnResume(f func(paused time.Duration)) (cancel func()) { return s.resumeSubs.add(f) }
 
-// Fresh reports whether this process runs without a pause. A hot path checks it before it uses grants
-// of others, as it may run before OnAwake is called. It is one atomic load.
-func (s *Service) Fresh() bool {
-	return time.Since(s.start)-time.Duration(s.beat.Load()) < s.cfg.Options.PauseAfter
+// Responsive reports whether this process has handled an event within the last PauseThreshold. Code on
+// hot paths checks it before using grants from other daemons, because after a pause it may run before
+// the OnResume callbacks. It costs one atomic load.
+func (s *Service) Responsive() bool {
+	return time.Since(s.start)-time.Duration(s.lastEvent.Load()) < s.cfg.Options.PauseThreshold
 }
 
-// Ready reports whether the daemon has the fleet's table, or started alone.
+// Ready reports whether this daemon has received the fleet's table or has started alone.
 func (s *Service) Ready() bool { return s.ready.Load() }
 
-// Phase returns the phase of this daemon's own membership.
+// Phase returns the phase of this daemon's membership.
 func (s *Service) Phase() Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.machine.Phase()
 }
 
-// SetGeneration sets the generation of the document in force here, which heartbeats carry.
+// SetGeneration sets the generation and hash of the configuration document in force here. They are
+// sent in heartbeats.
 func (s *Service) SetGeneration(generation, hash uint64) {
 	s.handle(func(now time.Time) []Action { return s.machine.SetGeneration(now, generation, hash) })
 }
@@ -161,50 +162,51 @@
 	s.handle(func(now time.Time) []Action { return s.machine.SetRefusesKeys(now, refuses) })
 }
 
-// SetTerm announces this daemon's term as granter of rate limits; 0: it is not the granter.
+// SetTerm announces this daemon's term as granter of rate limits; 0: not the granter.
 func (s *Service) SetTerm(term uint64) {
 	s.handle(func(now time.Time) []Action { return s.machine.SetTerm(now, term) })
 }
 
-// leavePoll is the interval of checks for the acknowledgments of Leave.
-const leavePoll = 10 * time.Millisecond
+// leavePollInterval is the interval at which Leave checks for acknowledgments.
+const leavePollInterval = 10 * time.Millisecond
 
-// Leave announces that this daemon drains. It returns once its neighbors have acknowledged it, or
-// with the error of the context.
+// Leave announces that this daemon drains. It returns when its partners have acknowledged that, or
+// with the context's error.
 func (s *Service) Leave(ctx context.Context) error {
 	if !s.started {
 		return nil
 	}
 	s.handle(func(now time.Time) []Action { return s.machine.Leave(now) })
-	for !s.leaveKnown() {
+	for !s.leaveAcknowledged() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-s.ctx.Done():
 			return nil
-		case <-time.After(leavePoll):
+		case <-time.After(leavePollInterval):
 		}
 	}
 	return nil
 }
 
-// Partners returns the VMs that this one exchanges heartbeats with. They connect the whole fleet.
+// Partners returns the VMs to which this one sends heartbeats at regular intervals. The graph of
+// partners connects the whole fleet.
 func (s *Service) Partners() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.machine.Partners()
 }
 
-func (s *Service) leaveKnown() bool {
+func (s *Service) leaveAcknowledged() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.machine.LeaveKnown()
+	return s.machine.LeaveAcknowledged()
 }
 
 func (s *Service) tick() {
 	ticker := time.NewTicker(s.cfg.Options.TickInterval)
 	defer ticker.Stop()
-	s.handle(s.machine.Tick) // joins at once
+	s.handle(s.machine.Tick) // starts joining without waiting for the first tick
 	for {
 		select {
 		case <-s.ctx.Done():
@@ -232,14 +234,14 @@
 	var answer *JoinAnswer
 	s.handle(func(now time.Time) []Action {
 		var actions []Action
-		answer, actions = s.machine.AnswerJoin(now, &request)
+		answer, actions = s.machine.HandleJoin(now, &request)
 		return actions
 	})
 	return answer, nil
 }
 
-// handle passes an event to the machine, publishes its view and runs its actions. A pause is
-// reported under the lock, before any later event.
+// handle passes an event to the state machine, stores the new view and executes the actions. A pause
+// is reported while the lock is held, and thus before any later event.
 func (s *Service) handle(event func(time.Time) []Action) {
 	s.mu.Lock()
 	now := time.Now()
@@ -248,67 +250,67 @@
 	changed := view != s.view.Load()
 	s.view.Store(view)
 	for _, a := range actions {
-		if awake, ok := a.(ReportAwake); ok {
-			s.awakes.call(awake.Away)
+		if pause, ok := a.(ReportPause); ok {
+			s.resumeSubs.call(pause.Duration)
 		}
 	}
-	s.beat.Store(int64(now.Sub(s.start)))
+	s.lastEvent.Store(int64(now.Sub(s.start)))
 	s.mu.Unlock()
 	for _, a := range actions {
-		s.do(a)
+		s.execute(a)
 	}
 	if changed {
-		s.signal()
+		s.signalViewChanged()
 	}
 }
 
-func (s *Service) signal() {
+func (s *Service) signalViewChanged() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
-// publish calls the subscribers with the newest view.
+// publish calls the subscribers with the latest view after changes.
 func (s *Service) publish() {
 	var last *View
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
-		case <-s.wake:
+		case <-s.viewChanged:
 		}
 		if v := s.View(); v != last {
 			last = v
-			s.subs.call(v)
+			s.viewSubs.call(v)
 		}
 	}
 }
 
-func (s *Service) do(a Action) {
+func (s *Service) execute(a Action) {
 	log := s.cfg.Logger
 	switch a := a.(type) {
 	case SendHeartbeat:
 		_ = s.cfg.Network.Send(a.To, peer.KindHeartbeat, a.Heartbeat)
 	case CallJoin:
 		go s.join(a)
-	case LearnAddress:
+	case SetPeerAddress:
 		s.cfg.Network.SetAddress(a.VM, a.Address)
-	case ReportAwake:
-		log.Log(eventAwake, telemetry.Value("away", a.Away.String()))
+	case ReportPause:
+		log.Log(eventPaused, telemetry.Value("away", a.Duration.String()))
 	case ReportState:
 		log.Log(eventMemberState, telemetry.Peer(a.Name), telemetry.Value("state", a.State.String()))
 	case ReportOneWay:
-		log.Log(eventOneWay, telemetry.Peer(a.Peer), telemetry.Value("over", a.Over))
-	case ReportRenewed:
-		log.Log(eventRenewed, telemetry.Value("incarnation", a.Incarnation))
+		log.Log(eventOneWay, telemetry.Peer(a.Peer), telemetry.Value("over", a.Recovered))
+	case ReportNewIncarnation:
+		log.Log(eventNewIncarnation, telemetry.Value("incarnation", a.Incarnation))
 	case ReportJoined:
 		s.ready.Store(true)
 		log.Log(eventJoined, telemetry.Value("alone", a.Alone))
 	}
 }
 
-// join calls a candidate. An unknown name is replaced by the address.
+// join sends a join request to a candidate. If its name is unknown, the address is used as its name.
 func (s *Service) join(a CallJoin) {
 	name := a.Candidate.Name
 	if name == "" {
@@ -317,7 +319,7 @@
 	if a.Candidate.Address != "" {
 		s.cfg.Network.SetAddress(name, a.Candidate.Address)
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Options.JoinPatience)
+	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Options.JoinTimeout)
 	defer cancel()
 	var answer JoinAnswer
 	if err := s.cfg.Network.Call(ctx, name, peer.KindJoin, &a.Request, &answer); err != nil {
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -19,15 +19,15 @@
 	"masticturn/internal/telemetry"
 )
 
-// daemon starts a service on the hub.
-func daemon(t *testing.T, hub *peertest.Hub, name string, change func(*Config)) *Service {
+// startService starts a service that is connected to the hub.
+func startService(t *testing.T, hub *peertest.Hub, name string, modify func(*Config)) *Service {
 	t.Helper()
 	cfg := Config{
 		Self:    Member{Name: name, Zone: "r-z", Region: "r", PeerAddress: peertest.Address(name)},
 		Network: hub.Network(name),
 	}
-	if change != nil {
-		change(&cfg)
+	if modify != nil {
+		modify(&cfg)
 	}
 	s := NewService(cfg)
 	if err := s.Start(context.Background()); err != nil {
@@ -36,7 +36,7 @@
 	return s
 }
 
-func seeded(seed string) func(*Config) {
+func withSeed(seed string) func(*Config) {
 	return func(c *Config) { c.Seeds = []string{peertest.Address(seed)} }
 }
 
@@ -47,12 +47,12 @@
 	time.Sleep(time.Minute)
 }
 
-func TestServicesFindEachOtherBySeeds(t *testing.T) {
+func TestServicesJoinThroughSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := peertest.NewHub(1)
 		var all []*Service
 		for i := range 5 {
-			all = append(all, daemon(t, hub, fmt.Sprintf("vm%d", i), seeded("vm0")))
+			all = append(all, startService(t, hub, fmt.Sprintf("vm%d", i), withSeed("vm0")))
 		}
 		defer stopAll(all...)
 		var changes atomic.Int64
@@ -78,19 +78,19 @@
 		_ = all[0].Stop(context.Background())
 		time.Sleep(100 * time.Millisecond)
 		if _, ok := all[4].View().Member("vm0"); ok || changes.Load() == 0 {
-			t.Errorf("after Stop it is still there; %d changes were told", changes.Load())
+			t.Errorf("after Stop the member is still in the view, or there were no notifications: %d", changes.Load())
 		}
 	})
 }
 
 func TestServiceStartsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := daemon(t, peertest.NewHub(1), "vm0", seeded("vm0"))
+		s := startService(t, peertest.NewHub(1), "vm0", withSeed("vm0"))
 		defer stopAll(s)
 		if s.Ready() {
-			t.Error("ready before anything was tried")
+			t.Error("ready before any join attempt")
 		}
-		time.Sleep(defaultJoinPatience + time.Second)
+		time.Sleep(defaultJoinTimeout + time.Second)
 		if !s.Ready() {
 			t.Error("not ready")
 		}
@@ -99,26 +99,26 @@
 
 func TestServiceReportsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := daemon(t, peertest.NewHub(1), "vm0", nil)
+		s := startService(t, peertest.NewHub(1), "vm0", nil)
 		defer stopAll(s)
 		time.Sleep(5 * time.Second)
-		var away time.Duration
-		defer s.OnAwake(func(d time.Duration) { away = d })()
-		s.mu.Lock() // as after a pause
-		s.machine.last = s.machine.last.Add(-4 * time.Second)
-		s.beat.Add(-int64(4 * time.Second))
+		var paused time.Duration
+		defer s.OnResume(func(d time.Duration) { paused = d })()
+		s.mu.Lock() // simulates a pause
+		s.machine.lastEvent = s.machine.lastEvent.Add(-4 * time.Second)
+		s.lastEvent.Add(-int64(4 * time.Second))
 		s.mu.Unlock()
-		if s.Fresh() {
-			t.Error("fresh before the first tick after the pause")
+		if s.Responsive() {
+			t.Error("responsive before the first tick after the pause")
 		}
 		time.Sleep(time.Second)
-		if !s.Fresh() || away < 3*time.Second {
-			t.Errorf("fresh %v, told of %v", s.Fresh(), away)
+		if !s.Responsive() || paused < 3*time.Second {
+			t.Errorf("responsive %v, reported pause %v", s.Responsive(), paused)
 		}
 	})
 }
 
-// fakeStore lists VMs.
+// fakeStore is a store that only lists VM records.
 type fakeStore struct {
 	platform.Store
 	records []edge.VMRecord
@@ -135,7 +135,7 @@
 	return append(out, platform.Object{Name: "other", Value: []byte("no record")}), 1, nil
 }
 
-func TestListOfVMsIsAHint(t *testing.T) {
+func TestVMListOnlyProvidesCandidates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := peertest.NewHub(1)
 		store := &fakeStore{records: []edge.VMRecord{
@@ -144,10 +144,10 @@
 			{Name: "vm1", PeerAddress: peertest.Address("vm1"), Leaving: true},
 		}}
 		listed := func(c *Config) { c.Store = store }
-		a, b := daemon(t, hub, "vm0", listed), daemon(t, hub, "vm1", listed)
+		a, b := startService(t, hub, "vm0", listed), startService(t, hub, "vm1", listed)
 		defer stopAll(a, b)
 		time.Sleep(time.Minute)
-		// vm1's own record beats the list.
+		// vm1's own record takes precedence over the list, which states that it is leaving.
 		if v := a.View(); len(v.Members) != 2 || v.Count(Alive) != 2 {
 			t.Errorf("view %+v", v)
 		}
@@ -157,8 +157,8 @@
 	})
 }
 
-// Invalid records are skipped and logged once per change; the others hold.
-func TestRecordsOfOtherWriters(t *testing.T) {
+// Invalid records in the list are skipped and logged once per version; valid records are still used.
+func TestInvalidVMRecords(t *testing.T) {
 	record := func(name, value string) platform.Object {
 		return platform.Object{Kind: platform.KindVM, Name: name, Version: 1, Value: []byte(value)}
 	}
@@ -176,39 +176,38 @@
 		record("host", `{"name":"host","peer_address":":7620"}`),
 		record("long", `{"name":"long","peer_address":"10.0.0.5:7620","x":"`+strings.Repeat("y", maxRecordBytes)+`"}`),
 	}
-	candidates, faults := candidatesOf(list)
+	candidates, invalid := parseCandidates(list)
 	if len(candidates) != 1 || candidates[0] != (Candidate{Name: "good", Address: "10.0.0.1:7620"}) {
 		t.Errorf("candidates %+v", candidates)
 	}
-	if want := len(list) - 2; len(faults) != want {
-		t.Errorf("%d faults, want %d: %+v", len(faults), want, faults)
+	if want := len(list) - 2; len(invalid) != want {
+		t.Errorf("%d invalid records, want %d: %+v", len(invalid), want, invalid)
 	}
 	var log bytes.Buffer
 	s := NewService(Config{
 		Self: Member{Name: "vm0"}, Network: peertest.NewHub(1).Network("vm0"),
 		Logger: telemetry.NewLogger(&log, telemetry.FormatJSON, logrus.InfoLevel, "vm0"),
 	})
-	s.logFaults(faults)
-	s.logFaults(faults)
-	if n := s.badRecords.Get(); int(n) != len(faults) || strings.Count(log.String(), "\n") != len(faults) {
+	s.logInvalidRecords(invalid)
+	s.logInvalidRecords(invalid)
+	if n := s.invalidRecords.Get(); int(n) != len(invalid) || strings.Count(log.String(), "\n") != len(invalid) {
 		t.Errorf("%d counted, log:\n%s", n, log.String())
 	}
-	changed := faults[:1]
+	changed := invalid[:1]
 	changed[0].version++
-	s.logFaults(changed)
-	if n := s.badRecords.Get(); int(n) != len(list)-1 {
-		t.Errorf("%d counted after one has changed", n)
+	s.logInvalidRecords(changed)
+	if n := s.invalidRecords.Get(); int(n) != len(list)-1 {
+		t.Errorf("%d counted after one record changed", n)
 	}
 }
 
-// The number of candidates is bounded.
 func TestCandidatesAreBounded(t *testing.T) {
 	var list []platform.Object
 	for i := range 2 * maxCandidates {
 		name := fmt.Sprint("vm-", i)
 		list = append(list, platform.Object{Name: name, Value: fmt.Appendf(nil, `{"name":%q,"peer_address":"10.0.0.1:7620"}`, name)})
 	}
-	if got, _ := candidatesOf(list); len(got) != maxCandidates {
+	if got, _ := parseCandidates(list); len(got) != maxCandidates {
 		t.Errorf("%d candidates", len(got))
 	}
 }
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -11,43 +11,43 @@
 	"masticturn/internal/peer"
 )
 
-// simStep is the step of the simulated time; it divides the tick interval.
+// simStep is the step of the simulated time. The tick interval must be a multiple of it.
 const simStep = 20 * time.Millisecond
 
-// parcel is a message in flight.
-type parcel struct {
-	due      time.Time
-	from, to string
-	hb       *Heartbeat
-	join     *JoinRequest
-	answer   *JoinAnswer
+// envelope is a message in transit.
+type envelope struct {
+	deliverAt time.Time
+	from, to  string
+	hb        *Heartbeat
+	join      *JoinRequest
+	answer    *JoinAnswer
 }
 
-// sim runs machines under a simulated time and network.
+// sim runs state machines with a simulated clock and network.
 type sim struct {
-	t        testing.TB
-	now      time.Time
-	start    time.Time
-	random   *rand.Rand
-	opts     Options
-	nodes    map[string]*Machine
-	order    []string
-	paused   map[string]bool
-	parcels  []parcel
-	latency  func(from, to string) time.Duration
-	lose     func(from, to string) bool // nil: nothing is lost
-	double   float64                    // probability that a message comes twice
-	awake    map[string]int
-	renewed  map[string]int
-	oneWay   map[string]int // "observer/peer" → reports
-	highest  map[string]uint64
-	bytesOut map[string]int
-	bytesIn  map[string]int
-	messages int // received
-	keep     bool
-	kept     []parcel                     // to be sent again later
-	gone     map[string]map[string]uint64 // by observer: incarnations seen gone
-	measure  bool
+	t                  testing.TB
+	now                time.Time
+	start              time.Time
+	random             *rand.Rand
+	opts               Options
+	nodes              map[string]*Machine
+	order              []string
+	paused             map[string]bool
+	inFlight           []envelope
+	latency            func(from, to string) time.Duration
+	drop               func(from, to string) bool // nil: no messages are lost
+	duplicateRate      float64                    // probability that a message is delivered twice
+	pauses             map[string]int
+	renewals           map[string]int
+	oneWay             map[string]int // "observer/peer" → reports
+	highestIncarnation map[string]uint64
+	bytesOut           map[string]int
+	bytesIn            map[string]int
+	messages           int // received
+	recording          bool
+	recorded           []envelope                   // messages to be sent again later
+	goneIncarnations   map[string]map[string]uint64 // by observer and name: incarnation last seen as gone
+	measuring          bool
 }
 
 func newSim(t testing.TB, seed uint64) *sim {
@@ -55,8 +55,8 @@
 	s := &sim{
 		t: t, now: start, start: start, random: rand.New(rand.NewPCG(seed, seed)),
 		nodes: make(map[string]*Machine), paused: make(map[string]bool),
-		awake: make(map[string]int), renewed: make(map[string]int), oneWay: make(map[string]int),
-		highest: make(map[string]uint64), bytesOut: make(map[string]int), bytesIn: make(map[string]int), gone: make(map[string]map[string]uint64),
+		pauses: make(map[string]int), renewals: make(map[string]int), oneWay: make(map[string]int),
+		highestIncarnation: make(map[string]uint64), bytesOut: make(map[string]int), bytesIn: make(map[string]int), goneIncarnations: make(map[string]map[string]uint64),
 	}
 	s.latency = func(string, string) time.Duration { return simStep }
 	s.opts.setDefaults()
@@ -73,7 +73,7 @@
 	}
 }
 
-// add starts a machine that joins by the seeds.
+// add starts a daemon that joins through the seeds.
 func (s *sim) add(r Record, seeds ...string) *Machine {
 	m := NewMachine(r, s.opts, rand.New(rand.NewPCG(s.random.Uint64(), 1)), s.now)
 	var candidates []Candidate
@@ -86,8 +86,9 @@
 	return m
 }
 
-// fleet starts vms members per zone in regions × zones and runs until they know each other.
-func (s *sim) fleet(regions, zones, vms int) {
+// startFleet starts the given number of VMs in each zone of each region, and runs the simulation
+// until they know each other.
+func (s *sim) startFleet(regions, zones, vms int) {
 	var seeds []string
 	for r := range regions {
 		for z := range zones {
@@ -101,7 +102,7 @@
 		}
 	}
 	s.run(5 * time.Second)
-	s.wantAll(Alive)
+	s.wantAllStates(Alive)
 }
 
 func (s *sim) crash(name string) {
@@ -109,7 +110,7 @@
 	s.order = slices.Sorted(maps.Keys(s.nodes))
 }
 
-// run lets the time pass.
+// run advances the simulated time by d.
 func (s *sim) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(simStep)
@@ -117,7 +118,7 @@
 		if s.now.Sub(s.start)%s.opts.TickInterval == 0 {
 			for _, name := range s.order {
 				if !s.paused[name] {
-					s.do(name, s.nodes[name].Tick(s.now))
+					s.execute(name, s.nodes[name].Tick(s.now))
 				}
 			}
 		}
@@ -125,108 +126,108 @@
 }
 
 func (s *sim) deliver() {
-	var later []parcel
-	batch := s.parcels
-	s.parcels = nil
-	for _, p := range batch {
-		m := s.nodes[p.to]
+	var later []envelope
+	batch := s.inFlight
+	s.inFlight = nil
+	for _, e := range batch {
+		m := s.nodes[e.to]
 		switch {
-		case p.due.After(s.now) || s.paused[p.to]:
-			later = append(later, p)
+		case e.deliverAt.After(s.now) || s.paused[e.to]:
+			later = append(later, e)
 		case m != nil:
-			s.hand(m, p)
+			s.dispatch(m, e)
 		}
 	}
-	s.parcels = append(later, s.parcels...)
+	s.inFlight = append(later, s.inFlight...)
 }
 
-func (s *sim) hand(m *Machine, p parcel) {
+func (s *sim) dispatch(m *Machine, e envelope) {
 	switch {
-	case p.hb != nil:
-		s.do(p.to, m.Receive(s.now, p.from, p.hb))
-	case p.join != nil:
-		answer, actions := m.AnswerJoin(s.now, p.join)
-		s.do(p.to, actions)
-		s.post(parcel{from: p.to, to: p.from, answer: answer})
-	case p.answer != nil:
-		s.do(p.to, m.Joined(s.now, p.answer))
+	case e.hb != nil:
+		s.execute(e.to, m.Receive(s.now, e.from, e.hb))
+	case e.join != nil:
+		answer, actions := m.HandleJoin(s.now, e.join)
+		s.execute(e.to, actions)
+		s.send(envelope{from: e.to, to: e.from, answer: answer})
+	case e.answer != nil:
+		s.execute(e.to, m.Joined(s.now, e.answer))
 	}
 }
 
-func (s *sim) post(p parcel) {
-	if s.lose != nil && s.lose(p.from, p.to) {
+func (s *sim) send(e envelope) {
+	if s.drop != nil && s.drop(e.from, e.to) {
 		return
 	}
-	p.due = s.now.Add(s.latency(p.from, p.to))
-	if s.keep {
-		s.kept = append(s.kept, p)
+	e.deliverAt = s.now.Add(s.latency(e.from, e.to))
+	if s.recording {
+		s.recorded = append(s.recorded, e)
 	}
-	s.parcels = append(s.parcels, p)
-	if s.random.Float64() < s.double {
-		s.parcels = append(s.parcels, p)
+	s.inFlight = append(s.inFlight, e)
+	if s.random.Float64() < s.duplicateRate {
+		s.inFlight = append(s.inFlight, e)
 	}
 }
 
-// do runs actions and checks the invariants.
-func (s *sim) do(name string, actions []Action) {
+// execute runs the actions of a daemon and checks invariants.
+func (s *sim) execute(name string, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendHeartbeat:
-			s.count(name, a.To, a.Heartbeat)
-			s.post(parcel{from: name, to: a.To, hb: a.Heartbeat})
+			s.countBytes(name, a.To, a.Heartbeat)
+			s.send(envelope{from: name, to: a.To, hb: a.Heartbeat})
 		case CallJoin:
 			to := a.Candidate.Name
-			s.post(parcel{from: name, to: to, join: &a.Request})
-		case ReportAwake:
-			s.awake[name]++
-		case ReportRenewed:
-			s.renewed[name]++
+			s.send(envelope{from: name, to: to, join: &a.Request})
+		case ReportPause:
+			s.pauses[name]++
+		case ReportNewIncarnation:
+			s.renewals[name]++
 		case ReportOneWay:
 			s.oneWay[name+"/"+a.Peer]++
 		}
 	}
 	if m := s.nodes[name]; m != nil {
-		if m.Incarnation() < s.highest[name] {
-			s.t.Errorf("%s: incarnation %d after %d", name, m.Incarnation(), s.highest[name])
+		if m.Incarnation() < s.highestIncarnation[name] {
+			s.t.Errorf("%s: incarnation %d after %d", name, m.Incarnation(), s.highestIncarnation[name])
 		}
-		s.highest[name] = m.Incarnation()
+		s.highestIncarnation[name] = m.Incarnation()
 		m.View() // as the service does
-		if !s.measure {
+		if !s.measuring {
 			s.checkGone(name, m)
 		}
 	}
 }
 
-// checkGone checks that no incarnation returns from gone.
+// checkGone checks that no incarnation that was gone returns.
 func (s *sim) checkGone(name string, m *Machine) {
-	seen := s.gone[name]
+	seen := s.goneIncarnations[name]
 	if seen == nil {
 		seen = make(map[string]uint64)
-		s.gone[name] = seen
+		s.goneIncarnations[name] = seen
 	}
 	for _, e := range m.table {
 		switch {
 		case e.Gone:
 			seen[e.Name] = e.Incarnation
 		case seen[e.Name] >= e.Incarnation:
-			s.t.Errorf("%s: %s came back in incarnation %d", name, e.Name, e.Incarnation)
+			s.t.Errorf("%s: %s returned from gone in incarnation %d", name, e.Name, e.Incarnation)
 		}
 	}
 }
 
-// frameOverhead is what the peer network adds to a payload, in bytes.
+// frameOverhead is the size in bytes of the framing that the peer network adds to a payload.
 const frameOverhead = 14
 
-func (s *sim) count(from, to string, hb *Heartbeat) {
-	if !s.measure {
+func (s *sim) countBytes(from, to string, hb *Heartbeat) {
+	if !s.measuring {
 		return
 	}
 	raw, err := peer.Encode(hb)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	var back Heartbeat
-	if err := peer.Decode(raw, &back); err != nil {
+	var decoded Heartbeat
+	if err := peer.Decode(raw, &decoded); err != nil {
 		s.t.Fatal(err)
 	}
 	s.bytesOut[from] += len(raw) + frameOverhead
@@ -234,7 +235,7 @@
 	s.messages++
 }
 
-// state returns a member's state at an observer; Gone if it is not in the view.
+// state returns the state in which an observer sees a member; Gone if it is not in the view.
 func (s *sim) state(observer, name string) State {
 	member, ok := s.nodes[observer].View().Member(name)
 	if !ok {
@@ -243,8 +244,8 @@
 	return member.State
 }
 
-// wantAll checks that each machine sees each machine in the state.
-func (s *sim) wantAll(want State) {
+// wantAllStates checks that all daemons see all daemons in the given state.
+func (s *sim) wantAllStates(want State) {
 	s.t.Helper()
 	for _, a := range s.order {
 		for _, b := range s.order {
@@ -256,8 +257,8 @@
 	}
 }
 
-// wantSeen checks what all other machines see of one.
-func (s *sim) wantSeen(name string, want State) {
+// wantStateOf checks that all other daemons see a daemon in the given state.
+func (s *sim) wantStateOf(name string, want State) {
 	s.t.Helper()
 	for _, a := range s.order {
 		if a == name {
@@ -270,7 +271,7 @@
 	}
 }
 
-// wantGenerations checks which generation all see at each member.
+// wantGenerations checks which generation all daemons see for each member.
 func (s *sim) wantGenerations(want func(name string) uint64) {
 	s.t.Helper()
 	for _, a := range s.order {
@@ -283,7 +284,7 @@
 	}
 }
 
-// lossy loses messages of some pairs.
-func lossy(pairs ...[2]string) func(from, to string) bool {
+// dropBetween selects the messages from the first to the second daemon of each pair.
+func dropBetween(pairs ...[2]string) func(from, to string) bool {
 	return func(from, to string) bool { return slices.Contains(pairs, [2]string{from, to}) }
 }
--- a/internal/membership/subscribers.go
+++ b/internal/membership/subscribers.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// subscribers is a list of callbacks.
+// subscribers is a list of callbacks that is safe for concurrent use.
 type subscribers[T any] struct {
 	mu    sync.Mutex
 	funcs []*func(T)
--- a/internal/membership/topology.go
+++ b/internal/membership/topology.go
@@ -7,29 +7,30 @@
 	"masticturn/internal/rendezvous"
 )
 
-// relaysPerRegion is the number of relays of a region. Relays of one rank form a full mesh over
-// the regions; the ranks are independent paths.
+// relaysPerRegion is the number of relays of a region. The relays of the same rank form a full mesh
+// across all regions. Each rank is an independent path between the regions.
 const relaysPerRegion = 2
 
-// offsetFactor is the ratio of the ring distances of neighbors, so that changes spread in few hops.
-const offsetFactor = 3
+// ringOffsetFactor is the ratio between successive ring distances of a member's neighbors. Distances
+// that grow exponentially let changes reach all members in few hops.
+const ringOffsetFactor = 3
 
-// topology is the heartbeat partners of this daemon.
+// topology holds the heartbeat partners of this daemon.
 type topology struct {
-	ring      []*entry // members of the region, by zone and name
-	neighbors []string // in the region, sorted
-	remote    []string // relays of other regions, if this daemon is a relay
-	targets   []string // all of them
+	ring      []*entry // members of the region, sorted by zone and name
+	neighbors []string // partners in the region, sorted
+	remote    []string // relays of other regions, if this daemon is a relay; sorted
+	partners  []string // neighbors and remote
 	relay     bool     // this daemon is a relay
 }
 
-// currentTopology returns the topology of the present table.
+// currentTopology returns the topology for the current table.
 func (m *Machine) currentTopology() *topology {
 	if !m.topologyStale {
 		return &m.topology
 	}
 	m.topologyStale = false
-	byRegion := m.byRegion()
+	byRegion := m.membersByRegion()
 	ring := byRegion[m.self.Region]
 	t := topology{ring: ring, neighbors: neighborsOf(m.self.Name, ring, m.opts.MeshSize)}
 	for rank, name := range relaysOf(m.self.Region, ring) {
@@ -41,21 +42,21 @@
 	}
 	slices.Sort(t.remote)
 	t.remote = slices.Compact(t.remote)
-	t.targets = slices.Concat(t.neighbors, t.remote)
+	t.partners = slices.Concat(t.neighbors, t.remote)
 	for _, name := range t.neighbors {
 		if !slices.Contains(m.topology.neighbors, name) {
-			m.table[name].lastAlive = m.last // its timer starts now
+			m.table[name].lastAlive = m.lastEvent // a new neighbor's timer starts now
 		}
 	}
 	m.topology = t
 	return &m.topology
 }
 
-// Partners returns the members that exchange heartbeats with this one.
-func (m *Machine) Partners() []string { return slices.Clone(m.currentTopology().targets) }
+// Partners returns the members to which this daemon sends heartbeats at regular intervals.
+func (m *Machine) Partners() []string { return slices.Clone(m.currentTopology().partners) }
 
-// byRegion groups the members by region, sorted by zone and name.
-func (m *Machine) byRegion() map[string][]*entry {
+// membersByRegion groups the members by region, sorted by zone and name.
+func (m *Machine) membersByRegion() map[string][]*entry {
 	out := make(map[string][]*entry)
 	for _, e := range m.table {
 		if !e.Gone {
@@ -63,23 +64,23 @@
 		}
 	}
 	for _, members := range out {
-		slices.SortFunc(members, compareByPlace)
+		slices.SortFunc(members, compareByZoneAndName)
 	}
 	return out
 }
 
-func compareByPlace(a, b *entry) int {
+func compareByZoneAndName(a, b *entry) int {
 	if c := strings.Compare(a.Zone, b.Zone); c != 0 {
 		return c
 	}
 	return strings.Compare(a.Name, b.Name)
 }
 
-// neighborsOf returns a member's heartbeat partners in its region: all up to the mesh size, else
-// those at the ring offsets. Neighbors are mutual.
+// neighborsOf returns a member's heartbeat partners in its region: all members if there are at most
+// meshSize, otherwise those at the ring offsets. The relation is symmetric.
 func neighborsOf(name string, ring []*entry, meshSize int) []string {
-	at := slices.IndexFunc(ring, func(e *entry) bool { return e.Name == name })
-	if at < 0 {
+	index := slices.IndexFunc(ring, func(e *entry) bool { return e.Name == name })
+	if index < 0 {
 		return nil
 	}
 	var out []string
@@ -93,16 +94,16 @@
 		slices.Sort(out)
 		return out
 	}
-	for offset := 1; offset <= n/2; offset *= offsetFactor {
-		out = append(out, ring[(at+offset)%n].Name, ring[(at-offset+n)%n].Name)
+	for offset := 1; offset <= n/2; offset *= ringOffsetFactor {
+		out = append(out, ring[(index+offset)%n].Name, ring[(index-offset+n)%n].Name)
 	}
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// relaysOf returns a region's relays by rank, by rendezvous hashing over the live members, or over
-// all if there are none. The second one is preferably of another zone. A single member has all
-// ranks.
+// relaysOf returns a region's relays by rank. They are chosen by rendezvous hashing over the alive
+// members, or over all members if none is alive. The second relay is preferably in another zone. A
+// single member has both ranks.
 func relaysOf(region string, ring []*entry) (relays [relaysPerRegion]string) {
 	alive := slices.DeleteFunc(slices.Clone(ring), func(e *entry) bool { return e.state() != Alive })
 	if len(alive) == 0 {
@@ -111,10 +112,10 @@
 	if len(alive) == 0 {
 		return relays
 	}
-	first := highest(region, alive, func(*entry) bool { return true })
-	second := highest(region, alive, func(e *entry) bool { return e.Zone != first.Zone })
+	first := highestScore(region, alive, func(*entry) bool { return true })
+	second := highestScore(region, alive, func(e *entry) bool { return e.Zone != first.Zone })
 	if second == nil {
-		second = highest(region, alive, func(e *entry) bool { return e != first })
+		second = highestScore(region, alive, func(e *entry) bool { return e != first })
 	}
 	if second == nil {
 		second = first
@@ -122,7 +123,7 @@
 	return [relaysPerRegion]string{first.Name, second.Name}
 }
 
-func highest(key string, members []*entry, allowed func(*entry) bool) *entry {
+func highestScore(key string, members []*entry, allowed func(*entry) bool) *entry {
 	var best *entry
 	var bestScore uint64
 	for _, e := range members {
@@ -136,7 +137,7 @@
 	return best
 }
 
-// remoteRelays returns the relays of a rank in all other regions.
+// remoteRelays returns the relays of the given rank in all other regions.
 func remoteRelays(byRegion map[string][]*entry, own string, rank int) []string {
 	var out []string
 	for region, ring := range byRegion {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -9,8 +9,8 @@
 // The states, in the order in which they supersede each other within one incarnation.
 const (
 	Alive   State = iota // heartbeats arrive
-	Suspect              // heartbeats are late; its grants still count
-	Leaving              // drains; gets no new work
+	Suspect              // heartbeats are late; grants from it remain valid
+	Leaving              // draining; receives no new requests
 	Gone                 // left, or silent for too long
 )
 
@@ -19,24 +19,25 @@
 	return [...]string{"alive", "suspect", "leaving", "gone"}[s]
 }
 
-// Member is one daemon. Incarnation identifies a process start and increases per VM name.
+// Member is the state of one daemon. Its incarnation increases with each process start under the
+// same VM name, and whenever the daemon renews it.
 type Member struct {
 	Name          string
 	Zone          string
 	Region        string
 	PeerAddress   string  // host:port of the peer listener
 	CallerAddress string  // host:port of the caller listener
-	Cores         float64 // processor time; 0: not known
+	Cores         float64 // CPU time of the VM, in cores; 0: unknown
 	Incarnation   uint64
-	Process       uint64 // first incarnation of its process; others follow without a restart
+	Process       uint64 // first incarnation of its process; later ones do not imply a restart
 	State         State
-	Generation    uint64 // generation of the document it has in force
+	Generation    uint64 // generation of the configuration document it has in force
 	Hash          uint64 // hash of that document
 	RefusesKeys   bool   // refuses requests with keys
-	Term          uint64 // as granter of rate limits; 0: it is not the granter
+	Term          uint64 // its term as granter of rate limits; 0: not the granter
 }
 
-// View is an immutable list of the members except gone ones, sorted by name. It includes this
+// View is an immutable list of all members that are not gone, sorted by name. It includes this
 // daemon.
 type View struct {
 	Version uint64 // increases with each change
@@ -44,7 +45,7 @@
 	Members []Member
 }
 
-// Member returns a member by name; ok is false if it is unknown.
+// Member returns the member with the given name; ok is false if there is none.
 func (v *View) Member(name string) (m Member, ok bool) {
 	for i := range v.Members {
 		if v.Members[i].Name == name {
@@ -65,10 +66,11 @@
 	return out
 }
 
-// Source provides the view. View is one atomic load and never returns nil.
+// Source provides the current view. View costs one atomic load and never returns nil.
 type Source interface {
 	View() *View
-	// Subscribe calls f after each change, in order, from one goroutine.
+	// Subscribe registers f to be called after changes with the latest view, in order, from one
+	// goroutine.
 	Subscribe(f func(*View)) (cancel func())
 }
 
@@ -83,8 +85,8 @@
 	return n
 }
 
-// Brokers returns the first n members in the election order of a service's broker in a region.
-// Suspect members are included only if none is alive.
+// Brokers returns the first n members in the order in which they are elected as a service's broker
+// in a region. Suspect members are included only if no member is alive.
 func (v *View) Brokers(service, region string, n int) []Member {
 	members := v.InRegion(region)
 	alive := make([]Member, 0, len(members))
