--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -45,7 +45,7 @@
 // fleet runs the machines of a fleet in simulated time.
 type fleet struct {
 	now   time.Time
-	nodes []*membership.Machine
+	nodes []*membership.StateMachine
 	index map[string]int
 	mail  []letter
 	bytes []float64 // in and out, by daemon; counted while counting
@@ -80,7 +80,7 @@
 // newFleet makes n daemons over the design's regions that know each other.
 func newFleet(n int) *fleet {
 	f := &fleet{now: time.Unix(1_000_000, 0), index: make(map[string]int), bytes: make([]float64, n)}
-	answer := &membership.JoinAnswer{Name: "table"}
+	answer := &membership.JoinResponse{Name: "table"}
 	for i := range n {
 		zone := i % DesignZones
 		answer.Records = append(answer.Records, membership.Record{
@@ -91,10 +91,10 @@
 	}
 	for i, r := range answer.Records {
 		f.index[r.Name] = i
-		f.nodes = append(f.nodes, membership.NewMachine(r, membership.Options{}.WithDefaults(), rand.New(rand.NewPCG(uint64(i), 1)), f.now))
+		f.nodes = append(f.nodes, membership.NewStateMachine(r, membership.Options{}.WithDefaults(), rand.New(rand.NewPCG(uint64(i), 1)), f.now))
 	}
 	for i, m := range f.nodes {
-		f.do(i, m.Joined(f.now, answer))
+		f.do(i, m.HandleJoinResponse(f.now, answer))
 	}
 	return f
 }
--- a/internal/command/events.go
+++ b/internal/command/events.go
@@ -18,7 +18,7 @@
 			if c.Bool(flagJSON) {
 				return printJSON(c.Root().Writer, telemetry.Catalogue())
 			}
-			_, err := fmt.Fprint(c.Root().Writer, telemetry.Page())
+			_, err := fmt.Fprint(c.Root().Writer, telemetry.CatalogueMarkdown())
 			return err
 		},
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -117,7 +117,7 @@
 		d.opts.Logger.Log(eventReloadFailed, telemetry.Err(err))
 		return
 	}
-	d.opts.Logger.Log(eventReloaded, telemetry.Value("changed", d.settings.Differences(s)))
+	d.opts.Logger.Log(eventReloaded, telemetry.Value("changed", d.settings.ChangedSections(s)))
 }
 
 // RequestDrain asks the program that runs the daemon to drain it.
--- a/internal/daemon/events_test.go
+++ b/internal/daemon/events_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(page) != telemetry.Page() {
+	if string(page) != telemetry.CatalogueMarkdown() {
 		t.Error("docs/EVENTS.md differs from the catalogue; run: go run ./cmd/masticturn events > docs/EVENTS.md")
 	}
 }
--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -82,7 +82,7 @@
 	if d.opts.Hosted == nil {
 		return membership.Options{}
 	}
-	return membership.Options{RegionAfter: hostedRegionAfter, JoinInterval: hostedJoinInterval}
+	return membership.Options{RegionSuspectAfter: hostedRegionAfter, JoinInterval: hostedJoinInterval}
 }
 
 func (d *Daemon) newRegistrar(w *wiring) (kernel.Service, error) {
@@ -110,7 +110,7 @@
 		Network:    w.network,
 		Joined:     w.members.Ready,
 		FirstStart: d.settings.Peers.FirstStart,
-		Places:     d.settings.Places,
+		Places:     d.settings.ZoneRegions,
 		Bounds:     d.settings.Bounds,
 		Shares:     func() (config.Fleet, config.Retry) { return sharesOf(w.members.View(), d.settings.Bounds) },
 		Clock:      d.opts.Clock,
@@ -169,7 +169,7 @@
 		Ready:   d.listeners.ready,
 		Lookup:  d.listeners.lookup,
 		Members: w.members,
-		Places:  d.settings.Places,
+		Places:  d.settings.ZoneRegions,
 		Serving: func() (bool, string) { return w.discovery.View() != nil, "no document is in force yet" },
 		MaxAge:  lookupAge(d.settings.Bounds),
 		Logger:  d.opts.Logger,
@@ -203,7 +203,7 @@
 			}
 			return nil
 		},
-		Regions:  countRegions(d.settings.Places),
+		Regions:  countRegions(d.settings.ZoneRegions),
 		Store:    w.store,
 		Network:  w.network,
 		Members:  w.members,
--- a/internal/e2e/memfleet_test.go
+++ b/internal/e2e/memfleet_test.go
@@ -149,8 +149,8 @@
 		Platform: settings.Platform{
 			URL: "http://10.2.0.1:1", TimeoutMS: 700,
 		},
-		Peers:  settings.Peers{Seeds: []string{"10.0.0.1:7620", "10.0.0.2:7620", "10.0.0.3:7620"}},
-		Places: memPlaces,
+		Peers:       settings.Peers{Seeds: []string{"10.0.0.1:7620", "10.0.0.2:7620", "10.0.0.3:7620"}},
+		ZoneRegions: memPlaces,
 		Bounds: settings.Bounds{
 			StopGrace: 6 * time.Second, TargetDrain: memDrain, ConfigInForce: 2500 * time.Millisecond,
 			ZoneEvacuation: 5 * time.Second, RetryRatio: 0.2, RetrySlack: 60, ColdFactor: 1.5, ColdSlack: 5,
--- a/internal/membership/action.go
+++ b/internal/membership/action.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is a side effect that the Machine requests from its caller.
+// Action is a side effect that the StateMachine requests from its caller.
 type Action interface{ action() }
 
 // SendHeartbeat sends a heartbeat to a member.
@@ -11,7 +11,7 @@
 	Heartbeat *Heartbeat
 }
 
-// CallJoin sends a join request to a daemon. Its response must be passed to Joined.
+// CallJoin sends a join request to a daemon. Its response must be passed to HandleJoinResponse.
 type CallJoin struct {
 	Candidate Candidate
 	Request   JoinRequest
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -37,9 +37,9 @@
 	for _, r := range records {
 		s.add(r)
 	}
-	answer := &JoinAnswer{Name: "table", Records: records}
+	answer := &JoinResponse{Name: "table", Records: records}
 	for _, name := range s.order {
-		s.execute(name, s.nodes[name].Joined(s.now, answer))
+		s.execute(name, s.nodes[name].HandleJoinResponse(s.now, answer))
 	}
 	s.latency = func(from, to string) time.Duration {
 		if from[:2] != to[:2] {
--- a/internal/membership/derive.go
+++ b/internal/membership/derive.go
@@ -6,7 +6,7 @@
 )
 
 // View returns the current view. It returns the same value until the view changes.
-func (m *Machine) View() *View {
+func (m *StateMachine) View() *View {
 	if m.view != nil && !m.viewStale {
 		return m.view
 	}
@@ -26,7 +26,7 @@
 	return v
 }
 
-func (m *Machine) toMember(e *entry) Member {
+func (m *StateMachine) toMember(e *entry) Member {
 	return Member{
 		Name: e.Name, Zone: e.Zone, Region: e.Region,
 		PeerAddress: e.PeerAddress, CallerAddress: e.CallerAddress, Cores: e.Cores,
@@ -36,7 +36,7 @@
 
 // memberState returns a member's state: that of its record, or Suspect if it is alive but its region
 // is silent.
-func (m *Machine) memberState(e *entry) State {
+func (m *StateMachine) memberState(e *entry) State {
 	s := e.state()
 	if s == Alive && e.Region != m.self.Region {
 		if r := m.regions[e.region]; r != nil && r.silent {
@@ -47,7 +47,7 @@
 }
 
 // reportStates emits an action for each member whose state changed.
-func (m *Machine) reportStates() {
+func (m *StateMachine) reportStates() {
 	if !m.statesStale {
 		return
 	}
--- a/internal/membership/detect.go
+++ b/internal/membership/detect.go
@@ -9,7 +9,7 @@
 const indirectProbes = 3
 
 // detect marks silent neighbors as suspect, and members that were suspect for too long as gone.
-func (m *Machine) detect(now time.Time) {
+func (m *StateMachine) detect(now time.Time) {
 	if m.phase == PhaseJoining {
 		return
 	}
@@ -30,7 +30,7 @@
 }
 
 // changeMember changes the record of another member, to mark it suspect or gone.
-func (m *Machine) changeMember(e *entry, now time.Time, change func(*Record)) {
+func (m *StateMachine) changeMember(e *entry, now time.Time, change func(*Record)) {
 	m.digest ^= e.Record.digest()
 	change(&e.Record)
 	m.digest ^= e.Record.digest()
@@ -40,7 +40,7 @@
 
 // probeIndirectly asks other neighbors of a silent neighbor for evidence that it is alive, to
 // distinguish a failed link from a failed daemon.
-func (m *Machine) probeIndirectly(e *entry, now time.Time) {
+func (m *StateMachine) probeIndirectly(e *entry, now time.Time) {
 	probers := neighborsOf(e.Name, m.currentTopology().ring, m.opts.MeshSize)
 	m.random.Shuffle(len(probers), func(i, j int) { probers[i], probers[j] = probers[j], probers[i] })
 	chosen := 0
@@ -61,7 +61,7 @@
 }
 
 // addEvidence answers a peer's probes, based on heartbeats that this daemon received directly.
-func (m *Machine) addEvidence(hb *Heartbeat, l *linkState, now time.Time) {
+func (m *StateMachine) addEvidence(hb *Heartbeat, l *linkState, now time.Time) {
 	for _, name := range l.probes {
 		e, direct := m.table[name], m.links[name]
 		if e == nil || direct == nil || !direct.received {
@@ -75,7 +75,7 @@
 	l.probes = l.probes[:0]
 }
 
-func (m *Machine) applyEvidence(hb *Heartbeat, now time.Time) {
+func (m *StateMachine) applyEvidence(hb *Heartbeat, now time.Time) {
 	for _, ev := range hb.Evidence {
 		e := m.table[ev.Name]
 		if e == nil || e.Incarnation != ev.Incarnation {
@@ -91,7 +91,7 @@
 // of an unreachable region stay suspect, because only members of the same region mark each other as
 // gone. A daemon that receives heartbeats from less than half of its partners considers itself
 // isolated and marks no member as gone until it recovers.
-func (m *Machine) markGone(t *topology, now time.Time) {
+func (m *StateMachine) markGone(t *topology, now time.Time) {
 	timeout := m.opts.GoneAfter - m.opts.SuspectAfter
 	isolated := m.isolated(t, now)
 	for _, e := range t.ring {
@@ -107,7 +107,7 @@
 
 // isolated reports whether the heartbeats of most partners are missing. With a single partner it
 // returns false, because a failed partner cannot be distinguished from isolation.
-func (m *Machine) isolated(t *topology, now time.Time) bool {
+func (m *StateMachine) isolated(t *topology, now time.Time) bool {
 	if len(t.partners) < 2 {
 		return false
 	}
@@ -124,7 +124,7 @@
 const expireInterval = time.Second
 
 // expire removes gone members, members of regions that have been silent for long, and unused links.
-func (m *Machine) expire(now time.Time) {
+func (m *StateMachine) expire(now time.Time) {
 	if now.Before(m.nextExpire) {
 		return
 	}
@@ -150,7 +150,7 @@
 
 // forget removes a member. If it may be alive it remains a join candidate, so that a partitioned
 // fleet merges again.
-func (m *Machine) forget(name string, e *entry, mayBeAlive bool) {
+func (m *StateMachine) forget(name string, e *entry, mayBeAlive bool) {
 	m.digest ^= e.Record.digest()
 	delete(m.table, name)
 	delete(m.byID, e.shortID())
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -32,7 +32,7 @@
 // minUrgentInterval is the minimum time between heartbeats to a peer that carry urgent changes.
 const minUrgentInterval = 50 * time.Millisecond
 
-func (m *Machine) link(peer string) *linkState {
+func (m *StateMachine) link(peer string) *linkState {
 	l, ok := m.links[peer]
 	if !ok {
 		l = m.newLink(peer)
@@ -42,14 +42,14 @@
 
 // newLink starts the exchange with a peer. A peer that has joined is assumed to have the current
 // table; compareTables corrects that assumption.
-func (m *Machine) newLink(peer string) *linkState {
+func (m *StateMachine) newLink(peer string) *linkState {
 	l := &linkState{peer: peer, knownVersion: m.version, resendTableAt: initialResendTableAt}
 	m.links[peer] = l
 	return l
 }
 
 // Receive processes a heartbeat.
-func (m *Machine) Receive(now time.Time, from string, hb *Heartbeat) []Action {
+func (m *StateMachine) Receive(now time.Time, from string, hb *Heartbeat) []Action {
 	m.begin(now)
 	if m.phase == PhaseLeft || from == m.self.Name {
 		return m.end()
@@ -77,7 +77,7 @@
 	return m.end()
 }
 
-func (m *Machine) applyAck(l *linkState, hb *Heartbeat, now time.Time) {
+func (m *StateMachine) applyAck(l *linkState, hb *Heartbeat, now time.Time) {
 	if hb.AckEpoch == uint32(m.epoch) && hb.Ack > l.ackedVersion && hb.Ack <= m.version {
 		l.ackedVersion = hb.Ack
 		l.inFlightSince = now
@@ -86,7 +86,7 @@
 
 // applyChanges merges the peer's changes. The acknowledged version advances only if no earlier changes
 // are missing.
-func (m *Machine) applyChanges(l *linkState, hb *Heartbeat, now time.Time) {
+func (m *StateMachine) applyChanges(l *linkState, hb *Heartbeat, now time.Time) {
 	for i := range hb.Records {
 		m.merge(&hb.Records[i], l, now)
 	}
@@ -106,7 +106,7 @@
 }
 
 // applySender applies the sender's state.
-func (m *Machine) applySender(l *linkState, hb *Heartbeat, now time.Time) {
+func (m *StateMachine) applySender(l *linkState, hb *Heartbeat, now time.Time) {
 	e := m.table[l.peer]
 	if e == nil {
 		m.requestTable(l, now)
@@ -125,7 +125,7 @@
 }
 
 // requestTable requests the table of a sender that is not a known member.
-func (m *Machine) requestTable(l *linkState, now time.Time) {
+func (m *StateMachine) requestTable(l *linkState, now time.Time) {
 	if m.phase != PhaseMember || now.Sub(l.tableRequestedAt) < m.opts.JoinInterval {
 		return
 	}
@@ -139,7 +139,7 @@
 
 // compareTables compares the table hashes. If they are equal, the peer has all records and they need
 // not be sent. If they remain different, the whole table is resent.
-func (m *Machine) compareTables(l *linkState, hb *Heartbeat) {
+func (m *StateMachine) compareTables(l *linkState, hb *Heartbeat) {
 	if hb.TableHash == uint32(m.digest) {
 		l.knownVersion = m.version
 		l.hashMismatches, l.resendTableAt = 0, initialResendTableAt
@@ -154,7 +154,7 @@
 
 // detectOneWay detects a one-way link: the peer does not receive heartbeats although they have been
 // sent for some time.
-func (m *Machine) detectOneWay(l *linkState, hb *Heartbeat, now time.Time) {
+func (m *StateMachine) detectOneWay(l *linkState, hb *Heartbeat, now time.Time) {
 	limit := m.opts.SuspectAfter + m.opts.RelayInterval
 	notReceived := time.Duration(hb.ReceivedAgoMS)*time.Millisecond > limit
 	sentLongEnough := !l.firstSent.IsZero() && now.Sub(l.firstSent) > limit
@@ -167,7 +167,7 @@
 
 // sendDue sends the heartbeats that are due, to this daemon's partners and to daemons that count it
 // among theirs.
-func (m *Machine) sendDue(now time.Time) {
+func (m *StateMachine) sendDue(now time.Time) {
 	if m.phase == PhaseJoining {
 		return
 	}
@@ -188,9 +188,9 @@
 }
 
 // replyTimeout is the time for which heartbeats are still sent to a silent peer that expects them.
-func (m *Machine) replyTimeout() time.Duration { return 2 * m.opts.RelayInterval }
+func (m *StateMachine) replyTimeout() time.Duration { return 2 * m.opts.RelayInterval }
 
-func (m *Machine) shouldSend(l *linkState, now time.Time) bool {
+func (m *StateMachine) shouldSend(l *linkState, now time.Time) bool {
 	if !now.Before(l.nextSend) {
 		return true
 	}
@@ -199,7 +199,7 @@
 
 // hasUrgentChanges reports whether urgent changes are to be sent to the peer: records, region
 // summaries with new content, or answers to its probes.
-func (m *Machine) hasUrgentChanges(l *linkState) bool {
+func (m *StateMachine) hasUrgentChanges(l *linkState) bool {
 	if len(l.probes) > 0 {
 		return true
 	}
@@ -221,7 +221,7 @@
 }
 
 // sendAll sends a heartbeat to all daemons from which one was received.
-func (m *Machine) sendAll(now time.Time) {
+func (m *StateMachine) sendAll(now time.Time) {
 	for _, l := range m.links {
 		if l.received {
 			m.send(l, now)
@@ -230,14 +230,14 @@
 }
 
 // interval returns the time between heartbeats to a peer.
-func (m *Machine) interval(peer string) time.Duration {
+func (m *StateMachine) interval(peer string) time.Duration {
 	if e := m.table[peer]; e != nil && e.Region != m.self.Region {
 		return m.opts.RelayInterval
 	}
 	return m.opts.HeartbeatInterval
 }
 
-func (m *Machine) send(l *linkState, now time.Time) {
+func (m *StateMachine) send(l *linkState, now time.Time) {
 	hb := &Heartbeat{
 		Epoch:             m.epoch,
 		IncarnationOffset: m.self.Incarnation - m.epoch,
@@ -268,7 +268,7 @@
 
 // sendAfterVersion returns the version after which changes are sent. Changes in flight are resent only
 // if their acknowledgment is late.
-func (m *Machine) sendAfterVersion(l *linkState, now time.Time) uint64 {
+func (m *StateMachine) sendAfterVersion(l *linkState, now time.Time) uint64 {
 	ackLate := now.Sub(l.inFlightSince) > resendIntervals*m.interval(l.peer)
 	if l.inFlightVersion > l.ackedVersion && !ackLate {
 		return l.inFlightVersion
@@ -280,12 +280,12 @@
 // jitterFraction is the maximum random reduction of an interval. It prevents synchronized heartbeats.
 const jitterFraction = 0.1
 
-func (m *Machine) jitter(d time.Duration) time.Duration {
+func (m *StateMachine) jitter(d time.Duration) time.Duration {
 	return d - time.Duration(m.random.Float64()*jitterFraction*float64(d))
 }
 
 // addChanges adds the changes after hb.Base, oldest first, up to MaxRecords.
-func (m *Machine) addChanges(hb *Heartbeat, l *linkState) {
+func (m *StateMachine) addChanges(hb *Heartbeat, l *linkState) {
 	hb.Version = m.version
 	if hb.Base >= m.version {
 		return
@@ -327,7 +327,7 @@
 	region         *regionState
 }
 
-func (m *Machine) changedSince(l *linkState, from uint64) []change {
+func (m *StateMachine) changedSince(l *linkState, from uint64) []change {
 	var out []change
 	if max(m.latest.record, m.latest.generation) > from {
 		out = m.changedMembers(l, from)
@@ -343,7 +343,7 @@
 
 // changedMembers returns the changed records and, for a peer in the same region, the changed
 // generations of the region's members.
-func (m *Machine) changedMembers(l *linkState, from uint64) (out []change) {
+func (m *StateMachine) changedMembers(l *linkState, from uint64) (out []change) {
 	sameRegion := m.isInOwnRegion(l.peer)
 	for _, e := range m.table {
 		if e.recordVersion > max(from, l.knownVersion) && e.recordSource != l {
@@ -356,7 +356,7 @@
 	return out
 }
 
-func (m *Machine) isInOwnRegion(peer string) bool {
+func (m *StateMachine) isInOwnRegion(peer string) bool {
 	e := m.table[peer]
 	return e != nil && e.Region == m.self.Region
 }
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -7,13 +7,13 @@
 
 // SetCandidates sets the daemons that may be sent join requests, from the seeds and the platform's
 // list. A candidate becomes a member only through its own record.
-func (m *Machine) SetCandidates(candidates []Candidate) {
+func (m *StateMachine) SetCandidates(candidates []Candidate) {
 	m.candidates = candidates
 }
 
 // callCandidate sends a join request to a candidate outside the view: every JoinInterval while
 // joining, and every MergeInterval as a member, so that a partitioned fleet merges again.
-func (m *Machine) callCandidate(now time.Time) {
+func (m *StateMachine) callCandidate(now time.Time) {
 	if now.Before(m.nextJoin) || m.phase > PhaseMember {
 		return
 	}
@@ -30,7 +30,7 @@
 }
 
 // pickCandidate returns a random candidate outside the view.
-func (m *Machine) pickCandidate() (Candidate, bool) {
+func (m *StateMachine) pickCandidate() (Candidate, bool) {
 	known := make(map[string]bool)
 	for _, e := range m.table {
 		if !e.Gone {
@@ -49,22 +49,22 @@
 	return unknown[m.random.IntN(len(unknown))], true
 }
 
-func (m *Machine) becomeMember(alone bool) {
+func (m *StateMachine) becomeMember(alone bool) {
 	m.phase = PhaseMember
 	m.emit(ReportJoined{Alone: alone})
 }
 
-// Joined applies the response to a CallJoin. A response from this daemon itself is ignored.
-func (m *Machine) Joined(now time.Time, answer *JoinAnswer) []Action {
+// HandleJoinResponse applies the response to a CallJoin. A response from this daemon itself is ignored.
+func (m *StateMachine) HandleJoinResponse(now time.Time, response *JoinResponse) []Action {
 	m.begin(now)
-	if answer.Name == m.self.Name {
+	if response.Name == m.self.Name {
 		return m.end()
 	}
-	for i := range answer.Records {
-		m.merge(&answer.Records[i], nil, now)
+	for i := range response.Records {
+		m.merge(&response.Records[i], nil, now)
 	}
-	for i := range answer.Regions {
-		m.applyRegion(&answer.Regions[i], nil, now)
+	for i := range response.Regions {
+		m.applyRegion(&response.Regions[i], nil, now)
 	}
 	if m.phase == PhaseJoining {
 		m.becomeMember(false)
@@ -74,20 +74,20 @@
 }
 
 // HandleJoin returns the whole table in response to a joining daemon's request.
-func (m *Machine) HandleJoin(now time.Time, request *JoinRequest) (*JoinAnswer, []Action) {
+func (m *StateMachine) HandleJoin(now time.Time, request *JoinRequest) (*JoinResponse, []Action) {
 	m.begin(now)
-	answer := &JoinAnswer{Name: m.self.Name}
+	response := &JoinResponse{Name: m.self.Name}
 	if m.phase != PhaseLeft {
 		m.merge(&request.Record, nil, now)
 		m.sendDue(now)
 	}
 	for _, e := range m.table {
-		answer.Records = append(answer.Records, e.Record)
+		response.Records = append(response.Records, e.Record)
 	}
 	for _, r := range m.regions {
 		if r.Counter > 0 {
-			answer.Regions = append(answer.Regions, r.RegionSummary)
+			response.Regions = append(response.Regions, r.RegionSummary)
 		}
 	}
-	return answer, m.end()
+	return response, m.end()
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -3,7 +3,7 @@
 import "time"
 
 // merge applies a record received from a peer.
-func (m *Machine) merge(r *Record, source *linkState, now time.Time) {
+func (m *StateMachine) merge(r *Record, source *linkState, now time.Time) {
 	if r.Name == m.self.Name {
 		m.mergeSelf(r, now)
 		return
@@ -20,7 +20,7 @@
 	m.replace(e, r, source, now)
 }
 
-func (m *Machine) add(r *Record, source *linkState, now time.Time) {
+func (m *StateMachine) add(r *Record, source *linkState, now time.Time) {
 	e := &entry{Record: *r, region: regionID(r.Region), changedAt: now, suspectSince: now, lastAlive: now}
 	m.table[r.Name] = e
 	m.digest ^= r.digest()
@@ -29,7 +29,7 @@
 	m.startRegionTimer(e.region, now)
 }
 
-func (m *Machine) replace(e *entry, r *Record, source *linkState, now time.Time) {
+func (m *StateMachine) replace(e *entry, r *Record, source *linkState, now time.Time) {
 	oldAddress := e.PeerAddress
 	m.digest ^= e.Record.digest()
 	delete(m.byID, e.shortID())
@@ -48,14 +48,14 @@
 	m.updateAddress(e, oldAddress)
 }
 
-func (m *Machine) updateAddress(e *entry, oldAddress string) {
+func (m *StateMachine) updateAddress(e *entry, oldAddress string) {
 	if e.PeerAddress != oldAddress && !e.Gone {
 		m.emit(SetPeerAddress{VM: e.Name, Address: e.PeerAddress})
 	}
 }
 
 // mergeGeneration applies a generation received for a member, if it is newer.
-func (m *Machine) mergeGeneration(e *entry, incarnation, generation, hash uint64, source *linkState) {
+func (m *StateMachine) mergeGeneration(e *entry, incarnation, generation, hash uint64, source *linkState) {
 	if e == m.self || incarnation != e.Incarnation || generation <= e.Generation {
 		return
 	}
@@ -69,7 +69,7 @@
 
 // mergeSelf responds to records about this daemon. It refutes a suspicion by a higher Seq, and
 // renews the incarnation if the current one is superseded or gone.
-func (m *Machine) mergeSelf(r *Record, now time.Time) {
+func (m *StateMachine) mergeSelf(r *Record, now time.Time) {
 	if m.phase == PhaseLeft {
 		return
 	}
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -58,8 +58,8 @@
 	Record Record
 }
 
-// JoinAnswer is the response to a JoinRequest.
-type JoinAnswer struct {
+// JoinResponse is the response to a JoinRequest.
+type JoinResponse struct {
 	Name    string // of the responding daemon
 	Records []Record
 	Regions []RegionSummary
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -81,7 +81,7 @@
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	merged := func(records []Record, order []int) Record {
 		now := time.Unix(0, 0)
-		m := NewMachine(Record{Name: "self", Region: "r", Incarnation: 1}, Options{}, rand.New(rand.NewPCG(1, 1)), now)
+		m := NewStateMachine(Record{Name: "self", Region: "r", Incarnation: 1}, Options{}, rand.New(rand.NewPCG(1, 1)), now)
 		for _, i := range order {
 			m.merge(&records[i], nil, now)
 		}
--- a/internal/membership/region.go
+++ b/internal/membership/region.go
@@ -18,7 +18,7 @@
 	source      *linkState
 }
 
-func (m *Machine) region(id uint32) *regionState {
+func (m *StateMachine) region(id uint32) *regionState {
 	r, ok := m.regions[id]
 	if !ok {
 		r = &regionState{RegionSummary: RegionSummary{Region: id}}
@@ -28,7 +28,7 @@
 }
 
 // startRegionTimer starts the silence timer of a region when its first member becomes known.
-func (m *Machine) startRegionTimer(id uint32, now time.Time) {
+func (m *StateMachine) startRegionTimer(id uint32, now time.Time) {
 	if r := m.region(id); r.lastSummary.IsZero() {
 		r.lastSummary = now
 	}
@@ -37,7 +37,7 @@
 // publishRegion publishes the summary of this daemon's region every RegionInterval if the daemon is
 // a relay. Counters start at the wall clock in seconds, so that they increase across restarts of a
 // whole region.
-func (m *Machine) publishRegion(now time.Time) {
+func (m *StateMachine) publishRegion(now time.Time) {
 	if m.phase == PhaseJoining || !m.currentTopology().relay {
 		return
 	}
@@ -63,7 +63,7 @@
 	return s.Generation == o.Generation && slices.Equal(s.Exceptions, o.Exceptions)
 }
 
-func (m *Machine) setSummary(r *regionState, summary *RegionSummary, source *linkState, now time.Time) {
+func (m *StateMachine) setSummary(r *regionState, summary *RegionSummary, source *linkState, now time.Time) {
 	if !summary.sameAs(&r.RegionSummary) {
 		r.changedAt = now
 	}
@@ -75,7 +75,7 @@
 
 // summarize returns the highest generation in the region and the members that do not have it yet. If
 // there are more than maxExceptions of those, it returns the lowest generation instead.
-func (m *Machine) summarize() (generation uint64, exceptions []uint32) {
+func (m *StateMachine) summarize() (generation uint64, exceptions []uint32) {
 	lowest := m.self.Generation
 	for _, e := range m.currentTopology().ring {
 		generation = max(generation, e.Generation)
@@ -93,7 +93,7 @@
 }
 
 // applyRegion applies a region's summary, if it is newer than the known one.
-func (m *Machine) applyRegion(summary *RegionSummary, source *linkState, now time.Time) {
+func (m *StateMachine) applyRegion(summary *RegionSummary, source *linkState, now time.Time) {
 	r := m.region(summary.Region)
 	if summary.Counter <= r.Counter {
 		return
@@ -114,10 +114,10 @@
 	}
 }
 
-// detectRegions marks the regions whose summaries have been missing for RegionAfter as silent.
-func (m *Machine) detectRegions(now time.Time) {
+// detectRegions marks the regions whose summaries have been missing for RegionSuspectAfter as silent.
+func (m *StateMachine) detectRegions(now time.Time) {
 	for id, r := range m.regions {
-		silent := id != m.self.region && now.Sub(r.lastSummary) >= m.opts.RegionAfter
+		silent := id != m.self.region && now.Sub(r.lastSummary) >= m.opts.RegionSuspectAfter
 		if silent != r.silent {
 			r.silent = silent
 			m.viewStale, m.statesStale = true, true
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -35,7 +35,7 @@
 	viewChanged chan struct{} // signals a new view
 
 	mu        sync.Mutex
-	machine   *Machine
+	machine   *StateMachine
 	listedVMs []Candidate
 
 	loggedInvalid  map[string]platform.Version // logged versions of invalid records by name; used only by pollVMList
@@ -68,7 +68,7 @@
 		cfg.Metrics = metrics.NewSet()
 	}
 	s := &Service{cfg: cfg, viewChanged: make(chan struct{}, 1), start: time.Now()}
-	s.machine = NewMachine(cfg.record(), cfg.Options, newRandom(), s.start)
+	s.machine = NewStateMachine(cfg.record(), cfg.Options, newRandom(), s.start)
 	s.view.Store(s.machine.View())
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.registerHandlers()
@@ -231,13 +231,13 @@
 	if err := peer.Decode(payload, &request); err != nil {
 		return nil, err
 	}
-	var answer *JoinAnswer
+	var response *JoinResponse
 	s.handle(func(now time.Time) []Action {
 		var actions []Action
-		answer, actions = s.machine.HandleJoin(now, &request)
+		response, actions = s.machine.HandleJoin(now, &request)
 		return actions
 	})
-	return answer, nil
+	return response, nil
 }
 
 // handle passes an event to the state machine, stores the new view and executes the actions. A pause
@@ -321,12 +321,12 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Options.JoinTimeout)
 	defer cancel()
-	var answer JoinAnswer
-	if err := s.cfg.Network.Call(ctx, name, peer.KindJoin, &a.Request, &answer); err != nil {
+	var response JoinResponse
+	if err := s.cfg.Network.Call(ctx, name, peer.KindJoin, &a.Request, &response); err != nil {
 		s.cfg.Logger.Log(eventJoinFailed, telemetry.Peer(name), telemetry.Err(err))
 		return
 	}
-	s.handle(func(now time.Time) []Action { return s.machine.Joined(now, &answer) })
+	s.handle(func(now time.Time) []Action { return s.machine.HandleJoinResponse(now, &response) })
 	if a.Candidate.Name == "" {
 		s.cfg.Network.SetAddress(name, "")
 	}
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -20,7 +20,7 @@
 	from, to  string
 	hb        *Heartbeat
 	join      *JoinRequest
-	answer    *JoinAnswer
+	response  *JoinResponse
 }
 
 // sim runs state machines with a simulated clock and network.
@@ -30,7 +30,7 @@
 	start              time.Time
 	random             *rand.Rand
 	opts               Options
-	nodes              map[string]*Machine
+	nodes              map[string]*StateMachine
 	order              []string
 	paused             map[string]bool
 	inFlight           []envelope
@@ -54,7 +54,7 @@
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := &sim{
 		t: t, now: start, start: start, random: rand.New(rand.NewPCG(seed, seed)),
-		nodes: make(map[string]*Machine), paused: make(map[string]bool),
+		nodes: make(map[string]*StateMachine), paused: make(map[string]bool),
 		pauses: make(map[string]int), renewals: make(map[string]int), oneWay: make(map[string]int),
 		highestIncarnation: make(map[string]uint64), bytesOut: make(map[string]int), bytesIn: make(map[string]int), goneIncarnations: make(map[string]map[string]uint64),
 	}
@@ -74,8 +74,8 @@
 }
 
 // add starts a daemon that joins through the seeds.
-func (s *sim) add(r Record, seeds ...string) *Machine {
-	m := NewMachine(r, s.opts, rand.New(rand.NewPCG(s.random.Uint64(), 1)), s.now)
+func (s *sim) add(r Record, seeds ...string) *StateMachine {
+	m := NewStateMachine(r, s.opts, rand.New(rand.NewPCG(s.random.Uint64(), 1)), s.now)
 	var candidates []Candidate
 	for _, name := range seeds {
 		candidates = append(candidates, Candidate{Name: name, Address: name + ":7000"})
@@ -141,16 +141,16 @@
 	s.inFlight = append(later, s.inFlight...)
 }
 
-func (s *sim) dispatch(m *Machine, e envelope) {
+func (s *sim) dispatch(m *StateMachine, e envelope) {
 	switch {
 	case e.hb != nil:
 		s.execute(e.to, m.Receive(s.now, e.from, e.hb))
 	case e.join != nil:
-		answer, actions := m.HandleJoin(s.now, e.join)
+		response, actions := m.HandleJoin(s.now, e.join)
 		s.execute(e.to, actions)
-		s.send(envelope{from: e.to, to: e.from, answer: answer})
-	case e.answer != nil:
-		s.execute(e.to, m.Joined(s.now, e.answer))
+		s.send(envelope{from: e.to, to: e.from, response: response})
+	case e.response != nil:
+		s.execute(e.to, m.HandleJoinResponse(s.now, e.response))
 	}
 }
 
@@ -199,7 +199,7 @@
 }
 
 // checkGone checks that no incarnation that was gone returns.
-func (s *sim) checkGone(name string, m *Machine) {
+func (s *sim) checkGone(name string, m *StateMachine) {
 	seen := s.goneIncarnations[name]
 	if seen == nil {
 		seen = make(map[string]uint64)
--- a/internal/membership/machine.go
+++ b/internal/membership/statemachine.go
@@ -29,9 +29,9 @@
 // latestVersions holds the table versions of the last changes of any record and any generation.
 type latestVersions struct{ record, generation uint64 }
 
-// Machine is the state machine of the membership protocol of one daemon. It takes events with their
-// times and returns actions. It does no I/O and is not safe for concurrent use.
-type Machine struct {
+// StateMachine implements the membership protocol of one daemon. It takes events with their times
+// and returns actions. It does no I/O and is not safe for concurrent use.
+type StateMachine struct {
 	opts   Options
 	random *rand.Rand
 
@@ -66,12 +66,12 @@
 	actions []Action
 }
 
-// NewMachine returns the state machine of a daemon that starts now with the given record.
-func NewMachine(self Record, opts Options, random *rand.Rand, now time.Time) *Machine {
+// NewStateMachine returns the state machine of a daemon that starts now with the given record.
+func NewStateMachine(self Record, opts Options, random *rand.Rand, now time.Time) *StateMachine {
 	opts.setDefaults()
 	self.Seq = 1
 	self.Process = self.Incarnation
-	m := &Machine{
+	m := &StateMachine{
 		opts:      opts,
 		random:    random,
 		epoch:     self.Incarnation,
@@ -91,13 +91,13 @@
 }
 
 // Phase returns the phase of this daemon's membership.
-func (m *Machine) Phase() Phase { return m.phase }
+func (m *StateMachine) Phase() Phase { return m.phase }
 
 // Incarnation returns this daemon's current incarnation, which may increase.
-func (m *Machine) Incarnation() uint64 { return m.self.Incarnation }
+func (m *StateMachine) Incarnation() uint64 { return m.self.Incarnation }
 
 // Tick processes all timers. It must be called every TickInterval.
-func (m *Machine) Tick(now time.Time) []Action {
+func (m *StateMachine) Tick(now time.Time) []Action {
 	m.begin(now)
 	m.viewStale = m.viewStale || m.viewStaleAtTick
 	m.viewStaleAtTick = false
@@ -114,7 +114,7 @@
 
 // begin starts the handling of an event. A long gap since the last event means that this process was
 // paused.
-func (m *Machine) begin(now time.Time) {
+func (m *StateMachine) begin(now time.Time) {
 	elapsed := now.Sub(m.lastEvent)
 	m.lastEvent = now
 	if elapsed >= m.opts.PauseThreshold {
@@ -125,7 +125,7 @@
 // resumeAfterPause restarts all timers, because the apparent silence of the others was caused by this
 // daemon's pause. After a long pause the others consider this daemon gone, so it takes a new
 // incarnation.
-func (m *Machine) resumeAfterPause(now time.Time, paused time.Duration) {
+func (m *StateMachine) resumeAfterPause(now time.Time, paused time.Duration) {
 	m.emit(ReportPause{Duration: paused})
 	for _, e := range m.table {
 		e.lastAlive = now
@@ -143,18 +143,18 @@
 }
 
 // end completes the handling of an event and returns its actions.
-func (m *Machine) end() []Action {
+func (m *StateMachine) end() []Action {
 	m.reportStates()
 	out := m.actions
 	m.actions = nil
 	return out
 }
 
-func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
+func (m *StateMachine) emit(a Action) { m.actions = append(m.actions, a) }
 
 // markRecordChanged assigns a new table version to a changed record, so that it is sent over all
 // links except its source.
-func (m *Machine) markRecordChanged(e *entry, source *linkState) {
+func (m *StateMachine) markRecordChanged(e *entry, source *linkState) {
 	m.version++
 	m.byID[e.shortID()] = e
 	e.recordVersion, m.latest.record = m.version, m.version
@@ -163,7 +163,7 @@
 	m.viewStale, m.statesStale = true, true
 }
 
-func (m *Machine) markGenerationChanged(e *entry, source *linkState) {
+func (m *StateMachine) markGenerationChanged(e *entry, source *linkState) {
 	m.version++
 	e.generationVersion, m.latest.generation = m.version, m.version
 	e.generationSource = source
@@ -171,7 +171,7 @@
 }
 
 // changeSelf changes this daemon's own record.
-func (m *Machine) changeSelf(now time.Time, change func(*Record)) {
+func (m *StateMachine) changeSelf(now time.Time, change func(*Record)) {
 	m.digest ^= m.self.Record.digest()
 	delete(m.byID, m.self.shortID())
 	change(&m.self.Record)
@@ -182,7 +182,7 @@
 }
 
 // renewIncarnation takes an incarnation that supersedes both the given and the current one.
-func (m *Machine) renewIncarnation(superseded uint64, now time.Time) {
+func (m *StateMachine) renewIncarnation(superseded uint64, now time.Time) {
 	m.renewedAt = now
 	m.changeSelf(now, func(r *Record) {
 		r.Incarnation = supersedingIncarnation(max(superseded, r.Incarnation))
@@ -193,7 +193,7 @@
 }
 
 // SetGeneration sets the generation and hash of the configuration document in force here.
-func (m *Machine) SetGeneration(now time.Time, generation, hash uint64) []Action {
+func (m *StateMachine) SetGeneration(now time.Time, generation, hash uint64) []Action {
 	m.begin(now)
 	m.self.Generation, m.self.Hash = generation, hash
 	m.markGenerationChanged(m.self, nil)
@@ -202,7 +202,7 @@
 }
 
 // SetRefusesKeys sets whether this daemon refuses requests with keys.
-func (m *Machine) SetRefusesKeys(now time.Time, refuses bool) []Action {
+func (m *StateMachine) SetRefusesKeys(now time.Time, refuses bool) []Action {
 	m.begin(now)
 	if m.self.RefusesKeys != refuses {
 		m.changeSelf(now, func(r *Record) { r.RefusesKeys = refuses })
@@ -212,7 +212,7 @@
 }
 
 // SetTerm sets this daemon's term as granter of rate limits; 0: not the granter.
-func (m *Machine) SetTerm(now time.Time, term uint64) []Action {
+func (m *StateMachine) SetTerm(now time.Time, term uint64) []Action {
 	m.begin(now)
 	if m.self.Term != term {
 		m.changeSelf(now, func(r *Record) { r.Term = term })
@@ -222,7 +222,7 @@
 }
 
 // Leave announces that this daemon drains and accepts no new requests.
-func (m *Machine) Leave(now time.Time) []Action {
+func (m *StateMachine) Leave(now time.Time) []Action {
 	m.begin(now)
 	if m.phase < PhaseLeaving {
 		m.phase = PhaseLeaving
@@ -233,7 +233,7 @@
 }
 
 // AnnounceGone announces that this daemon is gone.
-func (m *Machine) AnnounceGone(now time.Time) []Action {
+func (m *StateMachine) AnnounceGone(now time.Time) []Action {
 	m.begin(now)
 	if m.phase != PhaseLeft {
 		m.phase = PhaseLeft
@@ -244,7 +244,7 @@
 }
 
 // LeaveAcknowledged reports whether all reachable partners have acknowledged this daemon's record.
-func (m *Machine) LeaveAcknowledged() bool {
+func (m *StateMachine) LeaveAcknowledged() bool {
 	for _, name := range m.currentTopology().partners {
 		l := m.links[name]
 		if e := m.table[name]; e == nil || e.Gone || e.Suspect {
--- a/internal/membership/topology.go
+++ b/internal/membership/topology.go
@@ -25,7 +25,7 @@
 }
 
 // currentTopology returns the topology for the current table.
-func (m *Machine) currentTopology() *topology {
+func (m *StateMachine) currentTopology() *topology {
 	if !m.topologyStale {
 		return &m.topology
 	}
@@ -53,10 +53,10 @@
 }
 
 // Partners returns the members to which this daemon sends heartbeats at regular intervals.
-func (m *Machine) Partners() []string { return slices.Clone(m.currentTopology().partners) }
+func (m *StateMachine) Partners() []string { return slices.Clone(m.currentTopology().partners) }
 
 // membersByRegion groups the members by region, sorted by zone and name.
-func (m *Machine) membersByRegion() map[string][]*entry {
+func (m *StateMachine) membersByRegion() map[string][]*entry {
 	out := make(map[string][]*entry)
 	for _, e := range m.table {
 		if !e.Gone {
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -118,8 +118,8 @@
 // start starts a VM, for the first time of the whole fleet or later.
 func (f *fleet) start(number int, first bool) *vm {
 	record := f.records[number]
-	machine := membership.NewMachine(record, membership.Options{}.WithDefaults(), rand.New(rand.NewPCG(1, uint64(number))), time.Now())
-	machine.Joined(time.Now(), &membership.JoinAnswer{Name: "other", Records: f.records})
+	machine := membership.NewStateMachine(record, membership.Options{}.WithDefaults(), rand.New(rand.NewPCG(1, uint64(number))), time.Now())
+	machine.HandleJoinResponse(time.Now(), &membership.JoinResponse{Name: "other", Records: f.records})
 	partners := machine.Partners()
 	v := &vm{name: record.Name, members: &members{view: f.view(record.Name, nil)}, store: &reach{Store: f.store}}
 	network := f.hub.Network(record.Name)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -29,10 +29,10 @@
 	Peers    Peers    `json:"peers"`
 	Operator Operator `json:"operator"`
 	Log      Log      `json:"log"`
-	// Places maps each availability zone to its region, for deployments whose
+	// ZoneRegions maps each availability zone to its region, for deployments whose
 	// configuration document does not list them.
-	Places map[string]string `json:"places,omitempty"`
-	Bounds Bounds            `json:"bounds,omitzero"`
+	ZoneRegions map[string]string `json:"places,omitempty"`
+	Bounds      Bounds            `json:"bounds,omitzero"`
 }
 
 // Bounds are the guarantees and requirements that the environment sets for the
@@ -149,8 +149,8 @@
 	return s, nil
 }
 
-// Differences returns the JSON names of the sections in which s and other differ.
-func (s *Settings) Differences(other *Settings) []string {
+// ChangedSections returns the JSON names of the sections in which s and other differ.
+func (s *Settings) ChangedSections(other *Settings) []string {
 	names := []string{}
 	a, b := reflect.ValueOf(*s), reflect.ValueOf(*other)
 	for i := range a.NumField() {
--- a/internal/telemetry/page.go
+++ b/internal/telemetry/markdown.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Page returns the catalogue as Markdown, for docs/EVENTS.md. It lists the
+// CatalogueMarkdown returns the catalogue as Markdown, for docs/EVENTS.md. It lists the
 // events of the packages that are linked into the program.
-func Page() string {
+func CatalogueMarkdown() string {
 	var b strings.Builder
 	b.WriteString("# Log events\n\n")
 	b.WriteString("Each log line contains the event number in the field `event`. ")
