--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -110,7 +110,7 @@
 		Network:      w.network,
 		Joined:       w.members.Ready,
 		FirstStart:   d.settings.Peers.FirstStart,
-		RegionByZone: d.settings.ZoneRegions,
+		RegionByZone: d.settings.RegionByZone,
 		Bounds:       d.settings.Bounds,
 		Shares:       func() (config.Fleet, config.Retry) { return sharesOf(w.members.View(), d.settings.Bounds) },
 		Clock:        d.opts.Clock,
@@ -169,7 +169,7 @@
 		Ready:        d.listeners.ready,
 		Lookup:       d.listeners.lookup,
 		Members:      w.members,
-		RegionByZone: d.settings.ZoneRegions,
+		RegionByZone: d.settings.RegionByZone,
 		Serving:      func() (bool, string) { return w.discovery.View() != nil, "no document is in force yet" },
 		MaxAge:       lookupAge(d.settings.Bounds),
 		Logger:       d.opts.Logger,
@@ -203,7 +203,7 @@
 			}
 			return nil
 		},
-		Regions:  countRegions(d.settings.ZoneRegions),
+		Regions:  countRegions(d.settings.RegionByZone),
 		Store:    w.store,
 		Network:  w.network,
 		Members:  w.members,
--- a/internal/e2e/memfleet_test.go
+++ b/internal/e2e/memfleet_test.go
@@ -150,7 +150,7 @@
 			URL: "http://10.2.0.1:1", TimeoutMS: 700,
 		},
 		Peers:       settings.Peers{Seeds: []string{"10.0.0.1:7620", "10.0.0.2:7620", "10.0.0.3:7620"}},
-		ZoneRegions: memPlaces,
+		RegionByZone: memPlaces,
 		Bounds: settings.Bounds{
 			StopGrace: 6 * time.Second, TargetDrain: memDrain, ConfigInForce: 2500 * time.Millisecond,
 			ZoneEvacuation: 5 * time.Second, RetryRatio: 0.2, RetrySlack: 60, ColdFactor: 1.5, ColdSlack: 5,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -29,9 +29,9 @@
 	Peers    Peers    `json:"peers"`
 	Operator Operator `json:"operator"`
 	Log      Log      `json:"log"`
-	// ZoneRegions maps each availability zone to its region, for deployments whose
+	// RegionByZone maps each availability zone to its region, for deployments whose
 	// configuration document does not list them.
-	ZoneRegions map[string]string `json:"places,omitempty"`
+	RegionByZone map[string]string `json:"places,omitempty"`
 	Bounds      Bounds            `json:"bounds,omitzero"`
 }
 
