--- a/internal/quarantine/events.go
+++ b/internal/quarantine/events.go
@@ -6,7 +6,7 @@
 	"masticturn/internal/telemetry"
 )
 
-// The events of the quarantine.
+// Log events of the quarantine.
 var (
 	eventSuspect = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 301,
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -21,14 +21,14 @@
 	"masticturn/internal/telemetry"
 )
 
-// knownWithin is the tightest bound of the deployments on what VMs in touch must
-// know of a request that crashes targets.
-const knownWithin = 3 * time.Second
+// maxPropagation is the strictest limit, over all deployments, on the time until all
+// connected VMs apply a verdict.
+const maxPropagation = 3 * time.Second
 
-// controlBytes is what a VM may send in a second.
-const controlBytes = 14_000
+// maxBytesPerSecond is the maximum control traffic per VM, in bytes per second.
+const maxBytesPerSecond = 14_000
 
-// members is a view that a test changes.
+// members is a membership.Source whose view is set by the test.
 type members struct {
 	mu   sync.Mutex
 	view *membership.View
@@ -58,37 +58,37 @@
 	}
 }
 
-// vm is one VM of a test.
+// vm is a VM of a fleet.
 type vm struct {
 	*Service
 	name    string
 	members *members
-	store   *reach
+	store   *countingStore
 }
 
-// reach is one VM's way to the store.
-type reach struct {
+// countingStore is the store as used by one VM. It counts the calls.
+type countingStore struct {
 	*platformtest.Store
 	calls atomic.Int64
 }
 
-func (r *reach) List(ctx context.Context, kind platform.Kind) ([]platform.Object, platform.Version, error) {
-	r.calls.Add(1)
-	return r.Store.List(ctx, kind)
+func (s *countingStore) List(ctx context.Context, kind platform.Kind) ([]platform.Object, platform.Version, error) {
+	s.calls.Add(1)
+	return s.Store.List(ctx, kind)
 }
 
-func (r *reach) Get(ctx context.Context, kind platform.Kind, name string) (platform.Object, error) {
-	r.calls.Add(1)
-	return r.Store.Get(ctx, kind, name)
+func (s *countingStore) Get(ctx context.Context, kind platform.Kind, name string) (platform.Object, error) {
+	s.calls.Add(1)
+	return s.Store.Get(ctx, kind, name)
 }
 
-func (r *reach) Create(ctx context.Context, kind platform.Kind, name string, value []byte) (platform.Version, error) {
-	r.calls.Add(1)
-	return r.Store.Create(ctx, kind, name, value)
+func (s *countingStore) Create(ctx context.Context, kind platform.Kind, name string, value []byte) (platform.Version, error) {
+	s.calls.Add(1)
+	return s.Store.Create(ctx, kind, name, value)
 }
 
-// fleet is VMs over one hub and one store. It is to be used within a bubble of
-// synctest.
+// fleet is a set of VMs with a common network and store. It must be used in a synctest
+// bubble.
 type fleet struct {
 	t       *testing.T
 	hub     *peertest.Hub
@@ -115,13 +115,13 @@
 	return f
 }
 
-// start starts a VM, for the first time of the whole fleet or later.
+// start starts or restarts a VM. first is Deps.FirstStart.
 func (f *fleet) start(number int, first bool) *vm {
 	record := f.records[number]
 	machine := membership.NewMachine(record, membership.Options{}.WithDefaults(), rand.New(rand.NewPCG(1, uint64(number))), time.Now())
 	machine.Joined(time.Now(), &membership.JoinAnswer{Name: "other", Records: f.records})
 	partners := machine.Partners()
-	v := &vm{name: record.Name, members: &members{view: f.view(record.Name, nil)}, store: &reach{Store: f.store}}
+	v := &vm{name: record.Name, members: &members{view: f.view(record.Name, nil)}, store: &countingStore{Store: f.store}}
 	network := f.hub.Network(record.Name)
 	for i := range f.records {
 		network.SetAddress(f.records[i].Name, f.records[i].PeerAddress)
@@ -141,7 +141,7 @@
 	return v
 }
 
-// view returns a VM's view in which some VMs are suspect.
+// view returns a VM's membership view with the given VMs marked as suspect.
 func (f *fleet) view(self string, suspect map[string]bool) *membership.View {
 	v := &membership.View{Self: self}
 	for i := range f.records {
@@ -162,15 +162,16 @@
 	time.Sleep(time.Minute)
 }
 
-// cut cuts a VM from all others, as both sides see after a while, or heals that.
-func (f *fleet) cut(v *vm, on bool) {
+// setIsolated partitions a VM from all others or heals the partition. The membership views
+// follow after a second.
+func (f *fleet) setIsolated(v *vm, isolated bool) {
 	others := make(map[string]bool)
 	for _, other := range f.vms {
 		if other == v {
 			continue
 		}
-		others[other.name] = on
-		fault := peertest.Fault{Cut: on, Delay: 20 * time.Millisecond}
+		others[other.name] = isolated
+		fault := peertest.Fault{Cut: isolated, Delay: 20 * time.Millisecond}
 		f.hub.SetFault(v.name, other.name, fault)
 		f.hub.SetFault(other.name, v.name, fault)
 	}
@@ -178,20 +179,20 @@
 	v.members.set(f.view(v.name, others))
 	for _, other := range f.vms {
 		if other != v {
-			other.members.set(f.view(other.name, map[string]bool{v.name: on}))
+			other.members.set(f.view(other.name, map[string]bool{v.name: isolated}))
 		}
 	}
 }
 
 func subjectOf(name string) Subject { return Subject{Whole: digestOf(name)} }
 
-// crash plays that a target crashes now under a request that a VM has sent.
+// crash records the crash of a target during a run of a request that the VM has sent.
 func (v *vm) crash(name string, target int) {
 	v.Crashed(subjectOf(name), fmt.Sprint("t", target), time.Now().Add(-50*time.Millisecond), time.Now())
 }
 
-// convict plays three crashes in sequence at three VMs.
-func (f *fleet) convict(name string, vms ...*vm) {
+// crashInSequence records one crash at each of the given VMs, 300 ms apart.
+func (f *fleet) crashInSequence(name string, vms ...*vm) {
 	for i, v := range vms {
 		if i > 0 {
 			time.Sleep(300 * time.Millisecond)
@@ -200,7 +201,7 @@
 	}
 }
 
-// verdict is what a VM does with a request.
+// verdict returns the VM's verdict on a request.
 func (v *vm) verdict(name string) Verdict {
 	if r := v.Barred(subjectOf(name)); r != nil {
 		return r.Verdict
@@ -208,11 +209,12 @@
 	return Clear
 }
 
-// await returns after which time all VMs do the same with a request.
-func (f *fleet) await(name string, want Verdict) time.Duration {
+// awaitVerdict waits until all VMs have the given verdict on a request and returns the time
+// it took.
+func (f *fleet) awaitVerdict(name string, want Verdict) time.Duration {
 	f.t.Helper()
 	began := time.Now()
-	for time.Since(began) < knownWithin {
+	for time.Since(began) < maxPropagation {
 		same := true
 		for _, v := range f.vms {
 			same = same && v.verdict(name) == want
@@ -224,14 +226,14 @@
 	}
 	for _, v := range f.vms {
 		if got := v.verdict(name); got != want {
-			f.t.Fatalf("after %v %s takes %s for %v, want %v", knownWithin, v.name, name, got, want)
+			f.t.Fatalf("after %v: verdict of %s on %s is %v, want %v", maxPropagation, v.name, name, got, want)
 		}
 	}
 	return 0
 }
 
-// bubble runs a test in fake time on a fleet.
-func bubble(t *testing.T, size, regions int, test func(t *testing.T, f *fleet)) {
+// testFleet runs a test with a fleet in a synctest bubble.
+func testFleet(t *testing.T, size, regions int, test func(t *testing.T, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, size, regions)
@@ -243,99 +245,99 @@
 func TestNewsReachesLargeFleets(t *testing.T) {
 	for _, size := range []int{9, 1400} {
 		t.Run(fmt.Sprint(size, " VMs"), func(t *testing.T) {
-			bubble(t, size, 9, func(t *testing.T, f *fleet) {
+			testFleet(t, size, 9, func(t *testing.T, f *fleet) {
 				f.store.SetOutage(true)
 				before := f.hub.Stats()
-				f.convict("/x", f.vms[0], f.vms[size/2], f.vms[size-1])
-				held := f.await("/x", Quarantined)
-				told := f.hub.Stats()
+				f.crashInSequence("/x", f.vms[0], f.vms[size/2], f.vms[size-1])
+				held := f.awaitVerdict("/x", Quarantined)
+				after := f.hub.Stats()
 				f.vms[size/3].Answered(subjectOf("/x"))
-				cleared := f.await("/x", Clear)
-				perVM := float64(told.Bytes-before.Bytes) / float64(size)
-				t.Logf("held everywhere after %v, cleared after %v; %.0f bytes and %.0f messages a VM until then",
-					held, cleared, perVM, float64(told.Messages-before.Messages)/float64(size))
-				if perVM > controlBytes {
-					t.Errorf("%.0f bytes a VM, at most %d are allowed in a second", perVM, controlBytes)
+				cleared := f.awaitVerdict("/x", Clear)
+				perVM := float64(after.Bytes-before.Bytes) / float64(size)
+				t.Logf("quarantined on all VMs after %v, cleared after %v; %.0f bytes and %.0f messages per VM for the quarantine",
+					held, cleared, perVM, float64(after.Messages-before.Messages)/float64(size))
+				if perVM > maxBytesPerSecond {
+					t.Errorf("sent %.0f bytes per VM, want at most %d per second", perVM, maxBytesPerSecond)
 				}
 			})
 		})
 	}
 }
 
-// An availability zone that crashes under thousands of requests costs bounded bytes,
-// and does not delay the word on one that is suspect.
-func TestCrashesOfAZoneCostBoundedBytes(t *testing.T) {
-	bubble(t, 30, 3, func(t *testing.T, f *fleet) {
+// Guards against reports of single crashes, thousands of which follow the loss of an
+// availability zone, exceeding the traffic limit or delaying reports of other requests.
+func TestAvailabilityZoneLossHasBoundedTraffic(t *testing.T) {
+	testFleet(t, 30, 3, func(t *testing.T, f *fleet) {
 		before := f.hub.Stats()
 		for i, v := range f.vms {
 			for n := range 300 {
 				v.crash(fmt.Sprintf("/%d/%d", i, n), n%20)
 			}
 		}
-		f.convict("/x", f.vms[0], f.vms[10], f.vms[20])
-		f.await("/x", Quarantined)
+		f.crashInSequence("/x", f.vms[0], f.vms[10], f.vms[20])
+		f.awaitVerdict("/x", Quarantined)
 		time.Sleep(5 * time.Second)
 		seconds := 6.0
 		perVM := float64(f.hub.Stats().Bytes-before.Bytes) / float64(len(f.vms))
-		if most := singleBytesBurst + seconds*controlBytes; perVM > most {
-			t.Errorf("%.0f bytes a VM in %v s, at most %.0f are allowed", perVM, seconds, most)
+		if limit := singleCrashBytesBurst + seconds*maxBytesPerSecond; perVM > limit {
+			t.Errorf("sent %.0f bytes per VM in %v s, want at most %.0f", perVM, seconds, limit)
 		}
 	})
 }
 
 func TestVMsThatStartLaterHearOfAll(t *testing.T) {
-	bubble(t, 9, 3, func(t *testing.T, f *fleet) {
+	testFleet(t, 9, 3, func(t *testing.T, f *fleet) {
 		f.store.SetOutage(true)
-		f.convict("/x", f.vms[0], f.vms[1], f.vms[2])
-		f.await("/x", Quarantined)
+		f.crashInSequence("/x", f.vms[0], f.vms[1], f.vms[2])
+		f.awaitVerdict("/x", Quarantined)
 		_ = f.vms[4].Stop(context.Background())
 		f.start(4, false)
-		f.await("/x", Quarantined)
+		f.awaitVerdict("/x", Quarantined)
 		if n := f.vms[4].store.calls.Load(); n != 0 {
-			t.Errorf("%d calls to the store though others could be asked", n)
+			t.Errorf("%d calls to the store, want none while partners respond", n)
 		}
 	})
 }
 
 func TestLostNewsIsMadeGood(t *testing.T) {
-	bubble(t, 9, 3, func(t *testing.T, f *fleet) {
+	testFleet(t, 9, 3, func(t *testing.T, f *fleet) {
 		f.store.SetOutage(true)
 		v := f.vms[5]
-		f.cut(v, true)
-		f.convict("/x", f.vms[0], f.vms[1], f.vms[2])
+		f.setIsolated(v, true)
+		f.crashInSequence("/x", f.vms[0], f.vms[1], f.vms[2])
 		time.Sleep(5 * time.Second)
 		if v.verdict("/x") != Clear {
-			t.Error("news crosses a cut")
+			t.Error("the partitioned VM received the record")
 		}
-		f.cut(v, false)
-		f.await("/x", Quarantined)
+		f.setIsolated(v, false)
+		f.awaitVerdict("/x", Quarantined)
 	})
 }
 
 func TestVMsThatHearFromNobodyReadTheStore(t *testing.T) {
-	bubble(t, 9, 3, func(t *testing.T, f *fleet) {
+	testFleet(t, 9, 3, func(t *testing.T, f *fleet) {
 		v := f.vms[5]
-		f.cut(v, true)
-		f.convict("/x", f.vms[0], f.vms[1], f.vms[2])
-		f.await("/x", Quarantined)
+		f.setIsolated(v, true)
+		f.crashInSequence("/x", f.vms[0], f.vms[1], f.vms[2])
+		f.awaitVerdict("/x", Quarantined)
 	})
 }
 
-func TestQuarantineOutlivesTheFleet(t *testing.T) {
-	bubble(t, 9, 3, func(t *testing.T, f *fleet) {
-		f.convict("/x", f.vms[0], f.vms[1], f.vms[2])
+func TestQuarantineSurvivesFleetRestart(t *testing.T) {
+	testFleet(t, 9, 3, func(t *testing.T, f *fleet) {
+		f.crashInSequence("/x", f.vms[0], f.vms[1], f.vms[2])
 		time.Sleep(2 * time.Second)
 		f.stop()
 		for i := range f.vms {
 			f.start(i, false)
 		}
-		f.await("/x", Quarantined)
+		f.awaitVerdict("/x", Quarantined)
 		calls := int64(0)
 		for _, v := range f.vms {
 			calls += v.store.calls.Load()
 		}
 		if calls > 2 {
-			t.Errorf("%d calls to the store at the start, want one list", calls)
+			t.Errorf("%d calls to the store at the start, want at most 2", calls)
 		}
 		f.vms[0].Answered(subjectOf("/x"))
 		time.Sleep(3 * time.Second)
@@ -345,9 +347,9 @@
 	})
 }
 
-func TestOperatorsLiftInTheStore(t *testing.T) {
-	bubble(t, 9, 3, func(t *testing.T, f *fleet) {
-		f.convict("/x", f.vms[0], f.vms[1], f.vms[2])
+func TestDeletedObjectLiftsQuarantine(t *testing.T) {
+	testFleet(t, 9, 3, func(t *testing.T, f *fleet) {
+		f.crashInSequence("/x", f.vms[0], f.vms[1], f.vms[2])
 		time.Sleep(3 * time.Second)
 		name := digestOf("/x").String()
 		o, err := f.store.Get(t.Context(), platform.KindQuarantine, name)
@@ -357,18 +359,18 @@
 		if err := f.store.Delete(t.Context(), platform.KindQuarantine, name, o.Version); err != nil {
 			t.Fatal(err)
 		}
-		for n := range 60 { // it comes again and again
+		for n := range 60 { // objects are only checked while the request arrives
 			_, _ = f.vms[n%9].Enter(t.Context(), subjectOf("/x"))
 			time.Sleep(500 * time.Millisecond)
 		}
-		f.await("/x", Clear)
+		f.awaitVerdict("/x", Clear)
 	})
 }
 
-func TestSuspectRequestsRunAlone(t *testing.T) {
-	bubble(t, 9, 3, func(t *testing.T, f *fleet) {
-		f.convict("/x", f.vms[0], f.vms[1])
-		f.await("/x", Suspect)
+func TestSuspectRequestGetsOneLease(t *testing.T) {
+	testFleet(t, 9, 3, func(t *testing.T, f *fleet) {
+		f.crashInSequence("/x", f.vms[0], f.vms[1])
+		f.awaitVerdict("/x", Suspect)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		var granted []*Pass
@@ -377,23 +379,23 @@
 			if pass.Exclusive() {
 				granted = append(granted, pass)
 			} else if refusal == nil || refusal.Verdict != Suspect || refusal.RetryAfter <= 0 {
-				t.Errorf("%s: %+v without a lease", v.name, refusal)
+				t.Errorf("%s: got refusal %+v without a lease, want suspect with a retry delay", v.name, refusal)
 			}
 		}
 		if len(granted) != 1 {
-			t.Fatalf("%d leases, want one", len(granted))
+			t.Fatalf("%d leases granted, want 1", len(granted))
 		}
 		granted[0].Release()
 		time.Sleep(denialInterval + 100*time.Millisecond)
 		if pass, _ := f.vms[3].Enter(ctx, subjectOf("/x")); !pass.Exclusive() {
-			t.Error("a lease that was given back is not given out again")
+			t.Error("no lease granted after the previous one was released")
 		}
 	})
 }
 
 func TestLeasesLapse(t *testing.T) {
-	bubble(t, 9, 3, func(t *testing.T, f *fleet) {
-		f.convict("/x", f.vms[0], f.vms[1])
+	testFleet(t, 9, 3, func(t *testing.T, f *fleet) {
+		f.crashInSequence("/x", f.vms[0], f.vms[1])
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		var holder *vm
@@ -403,9 +405,9 @@
 			}
 		}
 		if holder == nil {
-			t.Fatal("no lease")
+			t.Fatal("no lease granted")
 		}
-		f.cut(holder, true) // it returns nothing
+		f.setIsolated(holder, true) // its release cannot be sent
 		time.Sleep(time.Second)
 		for _, v := range f.vms {
 			if v == holder {
@@ -415,7 +417,7 @@
 				return
 			}
 		}
-		t.Error("nobody gets a lease after the first one has lapsed")
+		t.Error("no lease granted after the first one expired")
 	})
 }
 
@@ -442,37 +444,37 @@
 		l := NewLedger()
 		order := random.Perm(len(reports))
 		for _, i := range append(order, random.Perm(len(reports))...) {
-			// Ages are as of when the report was made, times as of when it comes.
+			// Ages are relative to the time at which the report was created.
 			l.Merge(reports[i], at(times[i]))
 		}
 		if got := l.Judge(d, at(6)); got.Verdict != Quarantined || got.Crashes != 3 {
-			t.Fatalf("order %v: %+v, want three crashes and quarantine", order, got)
+			t.Fatalf("order %v: got %+v, want 3 crashes and quarantine", order, got)
 		}
 	}
 }
 
-// A VM that has not heard of an acquittal takes later crashes and earlier ones
-// together; the others refute that.
+// Guards against a quarantine by a VM that has missed an answered run: it counts the
+// crashes before and after the run together. The other VMs must refute its report.
 func TestAcquittalsThatOvertakeCrashes(t *testing.T) {
-	bubble(t, 9, 3, func(t *testing.T, f *fleet) {
+	testFleet(t, 9, 3, func(t *testing.T, f *fleet) {
 		v := f.vms[7]
 		v.crash("/x", 1)
 		time.Sleep(100 * time.Millisecond)
-		f.cut(v, true)
+		f.setIsolated(v, true)
 		f.vms[0].Answered(subjectOf("/x"))
 		time.Sleep(time.Second)
 		for n := range 4 {
-			v.crash("/x", 2+n) // at once, as with a zone
+			v.crash("/x", 2+n) // simultaneous, as when an availability zone is lost
 		}
 		if v.verdict("/x") != Quarantined {
-			t.Fatal("the VM that was cut off does not hold the request")
+			t.Fatal("the partitioned VM did not quarantine the request")
 		}
-		f.cut(v, false)
-		f.await("/x", Clear)
+		f.setIsolated(v, false)
+		f.awaitVerdict("/x", Clear)
 	})
 }
 
-func TestReportsOfOtherWritersTellNothing(t *testing.T) {
+func TestInvalidReportsAreIgnored(t *testing.T) {
 	l := NewLedger()
 	good := digestOf("/x")
 	for name, r := range map[string]Report{
@@ -483,7 +485,7 @@
 		"old":          {Digest: good[:], SeenMS: 1 << 31, Crashes: []ReportedCrash{{1, 1 << 31, 1 << 31}}},
 	} {
 		if l.Merge(r, at(0)) != Unchanged || l.Len() != 0 {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: the report was not ignored", name)
 		}
 	}
 	many := Report{Digest: good[:], SeenMS: 1}
@@ -491,7 +493,7 @@
 		many.Crashes = append(many.Crashes, ReportedCrash{uint32(n), 1, uint32(n * 2000)})
 	}
 	l.Merge(many, at(0))
-	if n := l.Judge(good, at(0)).Crashes; n > maxCrashes {
-		t.Errorf("%d crashes are kept, at most %d are allowed", n, maxCrashes)
+	if n := l.Judge(good, at(0)).Crashes; n > maxCrashesPerRecord {
+		t.Errorf("%d crashes in the record, want at most %d", n, maxCrashesPerRecord)
 	}
 }
--- a/internal/quarantine/lease.go
+++ b/internal/quarantine/lease.go
@@ -11,72 +11,73 @@
 )
 
 const (
-	// maxLease bounds leases that are never released.
+	// maxLease is the maximum duration of a lease.
 	maxLease = 30 * time.Second
-	// leaseTimeout bounds the call to the lease owner.
+	// leaseTimeout is the timeout of the call to the VM that grants the lease.
 	leaseTimeout = 400 * time.Millisecond
-	// denialInterval is the least time between two lease requests after a denial.
+	// denialInterval is the minimum delay between a denial and the next lease request.
 	denialInterval = 100 * time.Millisecond
 )
 
-// leases are those granted by this VM. It is not safe for concurrent use.
-type leases struct {
-	until map[digest.Digest]time.Time
+// leaseTable holds the leases granted by this VM. It is not safe for concurrent use.
+type leaseTable struct {
+	expiry map[digest.Digest]time.Time
 }
 
-func newLeases() *leases { return &leases{until: make(map[digest.Digest]time.Time)} }
+func newLeaseTable() *leaseTable { return &leaseTable{expiry: make(map[digest.Digest]time.Time)} }
 
-// grant grants one run, or returns the delay until one may be granted; 0: unknown.
-func (l *leases) grant(d digest.Digest, j Judgement, length time.Duration, now time.Time) (granted bool, again time.Duration) {
-	if until := l.until[d]; now.Before(until) {
+// grant grants a lease for one run. If it is denied, retryAfter is the delay until one
+// may be granted; 0: unknown.
+func (l *leaseTable) grant(d digest.Digest, j Judgement, duration time.Duration, now time.Time) (granted bool, retryAfter time.Duration) {
+	if until := l.expiry[d]; now.Before(until) {
 		return false, until.Sub(now)
 	}
 	if j.Verdict == Quarantined && j.TrialIn != 0 {
 		return false, max(j.TrialIn, 0)
 	}
-	l.until[d] = now.Add(min(length, maxLease))
+	l.expiry[d] = now.Add(min(duration, maxLease))
 	return true, 0
 }
 
-func (l *leases) release(d digest.Digest) { delete(l.until, d) }
+func (l *leaseTable) release(d digest.Digest) { delete(l.expiry, d) }
 
-func (l *leases) sweep(now time.Time) {
-	for d, until := range l.until {
+func (l *leaseTable) sweep(now time.Time) {
+	for d, until := range l.expiry {
 		if !now.Before(until) {
-			delete(l.until, d)
+			delete(l.expiry, d)
 		}
 	}
 }
 
-// leaseRequest is the message of peer.KindQuarantineLease, a call.
+// leaseRequest is the request of peer.KindQuarantineLease.
 type leaseRequest struct {
-	Digest   []byte
-	LengthMS uint32
+	Digest     []byte
+	DurationMS uint32
 }
 
-// leaseAnswer is its answer.
-type leaseAnswer struct {
-	Granted bool
-	AgainMS uint32 // if denied: delay until a lease may be granted; 0: unknown
+// leaseResponse is the response to leaseRequest.
+type leaseResponse struct {
+	Granted      bool
+	RetryAfterMS uint32 // delay until a lease may be granted, if denied; 0: unknown
 }
 
-// leaseRelease is the message of peer.KindQuarantineRelease, one way.
+// leaseRelease is the one-way message of peer.KindQuarantineRelease.
 type leaseRelease struct {
 	Digest []byte
-	Report Report // with the outcome of the run
+	Report Report // includes the outcome of the run
 }
 
-// Pass admits a request, with a lease if it is suspect.
+// Pass is the admission of a request that needs a lease. A nil Pass has no lease.
 type Pass struct {
 	service *Service
 	digest  digest.Digest
-	owner   string // of the lease; empty: no lease
+	owner   string // VM that granted the lease; empty: no lease
 }
 
-// Exclusive reports whether the request holds a lease, so that it runs once only.
+// Exclusive reports whether the request holds a lease, so that it must run only once.
 func (p *Pass) Exclusive() bool { return p != nil && p.owner != "" }
 
-// Release releases the lease after the outcome of the run was recorded.
+// Release releases the lease. The outcome of the run must be recorded before.
 func (p *Pass) Release() {
 	if !p.Exclusive() {
 		return
@@ -89,74 +90,74 @@
 		return
 	}
 	report, _ := s.ledger.Report(p.digest, s.deps.Clock.Now())
-	_ = s.deps.Network.Send(p.owner, peer.KindQuarantineRelease, &leaseRelease{p.digest[:], report}) // a lost release expires
+	_ = s.deps.Network.Send(p.owner, peer.KindQuarantineRelease, &leaseRelease{p.digest[:], report}) // if it is lost, the lease expires
 }
 
 // Enter implements Screen.
 func (s *Service) Enter(ctx context.Context, subject Subject) (*Pass, *Refusal) {
-	d, j, denied := s.enter(subject)
+	d, j, suppressed := s.checkArrival(subject)
 	switch {
 	case j.Verdict == Clear:
 		return nil, nil
-	case j.Verdict == Quarantined && j.TrialIn != 0 || denied > 0:
-		return nil, s.refuse(d, j, denied)
+	case j.Verdict == Quarantined && j.TrialIn != 0 || suppressed > 0:
+		return nil, s.leaseRefusal(d, j, suppressed)
 	}
-	owner := s.ownerOf(d)
-	granted, again := s.requestLease(ctx, owner, d)
+	owner := s.leaseOwner(d)
+	granted, retryAfter := s.requestLease(ctx, owner, d)
 	if !granted {
-		s.deny(d)
-		return nil, s.refuse(d, j, again)
+		s.recordDenial(d)
+		return nil, s.leaseRefusal(d, j, retryAfter)
 	}
 	return &Pass{service: s, digest: d, owner: owner}, nil
 }
 
-// enter returns the verdict on an arriving request and how long lease requests are
-// suppressed.
-func (s *Service) enter(subject Subject) (d digest.Digest, j Judgement, denied time.Duration) {
+// checkArrival returns the verdict on an arriving request and how long lease requests are
+// still suppressed after a denial.
+func (s *Service) checkArrival(subject Subject) (d digest.Digest, j Judgement, suppressed time.Duration) {
 	if !s.Active() {
 		return d, j, 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.deps.Clock.Now()
-	d, j = s.judge(subject)
+	d, j = s.assess(subject)
 	if s.ledger.Touch(d, now) {
 		s.publish(d, "")
 	}
 	if j.Verdict == Quarantined {
-		s.persisted.touch(d, now)
+		s.persistence.touch(d, now)
 	}
-	return d, j, max(s.denied[d].Sub(now), 0)
+	return d, j, max(s.deniedUntil[d].Sub(now), 0)
 }
 
-func (s *Service) refuse(d digest.Digest, j Judgement, again time.Duration) *Refusal {
+func (s *Service) leaseRefusal(d digest.Digest, j Judgement, retryAfter time.Duration) *Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if again <= 0 {
-		again = suspectRetryAfter
+	if retryAfter <= 0 {
+		retryAfter = suspectRetryAfter
 	}
-	return s.refusal(d, j, min(max(again, denialInterval), suspectRetryAfter))
+	return s.refusal(d, j, min(max(retryAfter, denialInterval), suspectRetryAfter))
 }
 
-// deny suppresses further lease requests for a while.
-func (s *Service) deny(d digest.Digest) {
+// recordDenial suppresses lease requests for denialInterval.
+func (s *Service) recordDenial(d digest.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.denied[d] = s.deps.Clock.Now().Add(denialInterval)
+	s.deniedUntil[d] = s.deps.Clock.Now().Add(denialInterval)
 }
 
-// ownerOf returns the VM that grants the leases of a request. VMs with the same view
-// agree on it.
-func (s *Service) ownerOf(d digest.Digest) string {
-	owners := s.order(d.String())
+// leaseOwner returns the VM that grants the leases of a request. It is the same on all VMs
+// with the same membership view.
+func (s *Service) leaseOwner(d digest.Digest) string {
+	owners := s.rankVMs(d.String())
 	if len(owners) == 0 {
 		return s.deps.Self
 	}
 	return owners[0]
 }
 
-// order ranks the VMs that are alive, this one included, for a key.
-func (s *Service) order(key string) []string {
+// rankVMs ranks the alive VMs, including this one, by rendezvous hashing of a key.
+func (s *Service) rankVMs(key string) []string {
 	names := []string{s.deps.Self}
 	for _, m := range s.deps.Members.View().Members {
 		if m.State == membership.Alive && m.Name != s.deps.Self {
@@ -166,29 +167,29 @@
 	return rendezvous.Top(key, names, len(names), func(name string) string { return name })
 }
 
-func (s *Service) requestLease(ctx context.Context, owner string, d digest.Digest) (granted bool, again time.Duration) {
-	length := maxLease
+func (s *Service) requestLease(ctx context.Context, owner string, d digest.Digest) (granted bool, retryAfter time.Duration) {
+	duration := maxLease
 	if deadline, ok := ctx.Deadline(); ok {
-		length = deadline.Sub(s.deps.Clock.Now())
+		duration = deadline.Sub(s.deps.Clock.Now())
 	}
 	if owner == s.deps.Self {
-		return s.grant(d, length)
+		return s.grant(d, duration)
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	var a leaseAnswer
-	request := &leaseRequest{d[:], uint32(max(length.Milliseconds(), 0))}
+	var a leaseResponse
+	request := &leaseRequest{d[:], uint32(max(duration.Milliseconds(), 0))}
 	if err := s.deps.Network.Call(ctx, owner, peer.KindQuarantineLease, request, &a); err != nil {
 		return false, 0
 	}
-	return a.Granted, time.Duration(a.AgainMS) * time.Millisecond
+	return a.Granted, time.Duration(a.RetryAfterMS) * time.Millisecond
 }
 
-func (s *Service) grant(d digest.Digest, length time.Duration) (granted bool, again time.Duration) {
+func (s *Service) grant(d digest.Digest, duration time.Duration) (granted bool, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.deps.Clock.Now()
-	return s.leases.grant(d, s.ledger.Judge(d, now), length, now)
+	return s.leases.grant(d, s.ledger.Judge(d, now), duration, now)
 }
 
 func (s *Service) handleLease(_ context.Context, _ string, payload []byte) (any, error) {
@@ -200,8 +201,8 @@
 	if err != nil {
 		return nil, err
 	}
-	granted, again := s.grant(d, time.Duration(r.LengthMS)*time.Millisecond)
-	return &leaseAnswer{granted, uint32(again.Milliseconds())}, nil
+	granted, retryAfter := s.grant(d, time.Duration(r.DurationMS)*time.Millisecond)
+	return &leaseResponse{granted, uint32(retryAfter.Milliseconds())}, nil
 }
 
 func (s *Service) handleRelease(_ context.Context, from string, payload []byte) (any, error) {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -1,5 +1,5 @@
-// Package quarantine rejects requests that crash the targets that run them. VMs share
-// the crashes that they see, by the digest of the request.
+// Package quarantine rejects requests that crash the targets that run them. VMs replicate
+// the crashes that they observe, by the digest of the request.
 package quarantine
 
 import (
@@ -10,7 +10,7 @@
 	"masticturn/internal/digest"
 )
 
-// Verdict is the state of a request.
+// Verdict is the quarantine state of a request.
 type Verdict uint8
 
 // The verdicts.
@@ -20,77 +20,81 @@
 	Quarantined                // rejected, except for rare trials
 )
 
-// String returns the name used in logs, metrics and for operators.
+// String returns the name used in logs and metrics.
 func (v Verdict) String() string { return [...]string{"clear", "suspect", "quarantined"}[v] }
 
 // Thresholds of the verdicts. Crashes are sequential if each run began after the
-// previous crash; targets lost at the same moment, as with an availability zone, are not.
+// previous crash. Targets that fail simultaneously, as when an availability zone is lost,
+// do not count as sequential.
 const (
 	suspectSequence    = 2
 	quarantineCrashes  = 3
 	quarantineSequence = 2
-	// certainCrashes quarantine a request even if other requests explain some of them.
-	certainCrashes = 6
+	// unconditionalCrashes is the number of crashes that quarantine a request even if
+	// another request explains some of them.
+	unconditionalCrashes = 6
 )
 
-// Retention of records after their last crash or, in quarantine, the last arrival of
-// the request.
+// Retention of records after the last crash or, for requests in quarantine, after the
+// last arrival.
 const (
-	keepSingle      = time.Minute
-	keepSuspect     = 10 * time.Minute
-	keepQuarantined = time.Hour
-	// keepAcquitted exceeds the delay of reports sent before the acquittal.
-	keepAcquitted = 10 * time.Second
+	singleCrashRetention = time.Minute
+	suspectRetention     = 10 * time.Minute
+	quarantineRetention  = time.Hour
+	// clearedRetention exceeds the delay of reports that were sent before the request was
+	// cleared.
+	clearedRetention = 10 * time.Second
 )
 
-// trialAfter is the delay before each trial. After the last one fails, only an
-// operator lifts the quarantine.
-var trialAfter = [...]time.Duration{30 * time.Second, 5 * time.Minute}
+// trialDelays are the delays before each trial. If the last trial fails, only an operator
+// can lift the quarantine.
+var trialDelays = [...]time.Duration{30 * time.Second, 5 * time.Minute}
 
-// neverTried replaces the delay when no trial is left.
-const neverTried = -time.Second
+// noTrialLeft is the value of Judgement.TrialIn if no trials are left.
+const noTrialLeft = -time.Second
 
-// Memory bounds. The record with the fewest crashes is evicted first, then the oldest.
+// Memory limits. The record with the fewest crashes is evicted first; among equals, the
+// one seen least recently.
 const (
-	maxRecords = 4096
-	maxCrashes = 16 // of one record
+	maxRecords          = 4096
+	maxCrashesPerRecord = 16
 )
 
-// clockTolerance bounds the difference between two VMs' times of one event.
+// clockTolerance is the maximum difference between two VMs' times of the same event.
 const clockTolerance = time.Second
 
-// Crash is the end of a target's process during a run of a request.
+// Crash describes the crash of a target's process during a run of a request.
 type Crash struct {
-	Target uint32    // TargetID
+	Target uint32    // as returned by TargetID
 	Began  time.Time // start of the run
 	Ended  time.Time
 }
 
-// TargetID returns the short ID of a target instance.
+// TargetID returns a hash of the name of a target instance.
 func TargetID(name string) uint32 {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(name)) // it never fails
+	_, _ = h.Write([]byte(name)) // never fails
 	return h.Sum32()
 }
 
-// record is the state of one request.
+// record is the crash record of one request.
 type record struct {
-	head      digest.Digest // set if the request has a body
-	crashes   []Crash       // since the acquittal, ordered by end
-	acquitted time.Time     // last answered run or lift by an operator; zero: never
-	held      time.Time     // start of the quarantine or of its last failed trial; zero: not held
-	bare      bool          // held without crash details, as loaded from the store
-	lastSeen  time.Time     // last crash or, while held, last arrival
-	trials    int           // failed ones
-	stored    bool          // persisted in the store
+	head           digest.Digest // set if the request has a body
+	crashes        []Crash       // since the request was last cleared, ordered by end
+	clearedAt      time.Time     // last answered run or lift by an operator; zero: never cleared
+	quarantinedAt  time.Time     // start of the quarantine or time of the last failed trial; zero: not in quarantine
+	withoutCrashes bool          // in quarantine without crash details, as loaded from the store
+	lastSeen       time.Time     // last crash or, in quarantine, last arrival
+	failedTrials   int
+	stored         bool // persisted in the store
 }
 
-// Ledger decides which requests may run. It does no I/O and is not safe for
-// concurrent use.
+// Ledger stores crash records and decides which requests may run. It does no I/O and is
+// not safe for concurrent use.
 type Ledger struct {
 	records map[digest.Digest]*record
-	targets map[uint32][]digest.Digest // requests running on each target that crashed
-	heads   map[digest.Digest]int      // records by head
+	targets map[uint32][]digest.Digest // requests that were running on each crashed target
+	heads   map[digest.Digest]int      // number of records with each head
 }
 
 // NewLedger returns an empty ledger.
@@ -105,30 +109,31 @@
 // Len returns the number of records.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// Has reports whether a request is on record.
+// Has reports whether the ledger has a record of a request.
 func (l *Ledger) Has(d digest.Digest) bool { return l.records[d] != nil }
 
-// HasHead reports whether a request with this head and a body is on record.
+// HasHead reports whether the ledger has a record of a request with this head and a body.
 func (l *Ledger) HasHead(head digest.Digest) bool { return l.heads[head] > 0 }
 
-// Crashed records the crash of a target during a run. It reports whether the record
+// Crashed records the crash of a target during a run. It returns whether the record
 // changed.
 func (l *Ledger) Crashed(d, head digest.Digest, c Crash, now time.Time) bool {
 	r := l.record(d, head, now)
 	if !l.addCrash(d, r, c) {
 		return false
 	}
-	if !r.held.IsZero() && c.Began.After(r.held.Add(clockTolerance)) {
-		r.trials++
-		r.held = now
+	if !r.quarantinedAt.IsZero() && c.Began.After(r.quarantinedAt.Add(clockTolerance)) {
+		r.failedTrials++
+		r.quarantinedAt = now
 	}
-	l.hold(d, r, now)
+	l.quarantineIfDue(d, r, now)
 	return true
 }
 
-// addCrash adds a crash unless it is a duplicate or precedes the acquittal.
+// addCrash adds a crash unless it is a duplicate or precedes the last clearing. It
+// returns whether the crash was added.
 func (l *Ledger) addCrash(d digest.Digest, r *record, c Crash) bool {
-	if !c.Ended.After(r.acquitted) {
+	if !c.Ended.After(r.clearedAt) {
 		return false
 	}
 	for _, known := range r.crashes {
@@ -136,7 +141,7 @@
 			return false
 		}
 	}
-	if len(r.crashes) >= maxCrashes {
+	if len(r.crashes) >= maxCrashesPerRecord {
 		if !c.Ended.After(r.crashes[0].Ended) {
 			return false
 		}
@@ -154,33 +159,35 @@
 	return true
 }
 
-// hold quarantines a request once its crashes suffice.
-func (l *Ledger) hold(d digest.Digest, r *record, now time.Time) {
-	if !r.held.IsZero() {
+// quarantineIfDue quarantines a request if its crashes reach the thresholds.
+func (l *Ledger) quarantineIfDue(d digest.Digest, r *record, now time.Time) {
+	if !r.quarantinedAt.IsZero() {
 		return
 	}
-	if l.convicted(d, r) {
-		r.held = now
+	if l.shouldQuarantine(d, r) {
+		r.quarantinedAt = now
 	}
 }
 
-// convicted reports whether a request's record suffices for quarantine.
-func (l *Ledger) convicted(d digest.Digest, r *record) bool {
-	return convicts(l.unexplained(d, r)) || len(r.crashes) >= certainCrashes && convicts(r.crashes)
+// shouldQuarantine reports whether a request's crashes reach the thresholds of quarantine,
+// disregarding those explained by other requests up to unconditionalCrashes.
+func (l *Ledger) shouldQuarantine(d digest.Digest, r *record) bool {
+	return meetsThresholds(l.unexplained(d, r)) || len(r.crashes) >= unconditionalCrashes && meetsThresholds(r.crashes)
 }
 
-// convicts reports whether crashes suffice for quarantine.
-func convicts(crashes []Crash) bool {
-	return len(crashes) >= quarantineCrashes && sequence(crashes) >= quarantineSequence
+// meetsThresholds reports whether crashes reach the thresholds of quarantine.
+func meetsThresholds(crashes []Crash) bool {
+	return len(crashes) >= quarantineCrashes && longestSequence(crashes) >= quarantineSequence
 }
 
-// unexplained returns the crashes not explained by another request: a held one that ran
-// on the same target, unless this request was present at all crashes of the other.
+// unexplained returns the crashes that are not attributed to another request. A crash is
+// attributed to a quarantined request that ran on the same target, unless this request
+// was running at all crashes of that one.
 func (l *Ledger) unexplained(d digest.Digest, r *record) []Crash {
 	return slices.DeleteFunc(slices.Clone(r.crashes), func(c Crash) bool {
 		for _, other := range l.targets[c.Target] {
 			o := l.records[other]
-			if other != d && !o.held.IsZero() && !o.subsetOf(r) {
+			if other != d && !o.quarantinedAt.IsZero() && !o.subsetOf(r) {
 				return true
 			}
 		}
@@ -188,7 +195,7 @@
 	})
 }
 
-// subsetOf reports whether all of the record's crashes are in another record too.
+// subsetOf reports whether another record has crashes of all targets of this record.
 func (r *record) subsetOf(other *record) bool {
 	for _, c := range r.crashes {
 		if !slices.ContainsFunc(other.crashes, func(x Crash) bool { return x.Target == c.Target }) {
@@ -198,9 +205,9 @@
 	return true
 }
 
-// sequence returns the length of the longest chain of sequential crashes. The crashes
-// are ordered by end.
-func sequence(crashes []Crash) int {
+// longestSequence returns the length of the longest chain of sequential crashes. The
+// crashes must be ordered by end.
+func longestSequence(crashes []Crash) int {
 	n := 0
 	var last time.Time
 	for _, c := range crashes {
@@ -212,19 +219,20 @@
 	return n
 }
 
-// Acquit clears a request after an answered run or a lift by an operator. It reports
+// Acquit clears a request after an answered run or a lift by an operator. It returns
 // whether the record changed.
 func (l *Ledger) Acquit(d digest.Digest, now time.Time) bool {
 	r := l.records[d]
-	if r == nil || len(r.crashes) == 0 && r.held.IsZero() {
+	if r == nil || len(r.crashes) == 0 && r.quarantinedAt.IsZero() {
 		return false
 	}
-	l.acquit(d, r, now)
+	l.clearRecord(d, r, now)
 	return true
 }
 
-// acquit removes the crashes up to a time from a record.
-func (l *Ledger) acquit(d digest.Digest, r *record, at time.Time) {
+// clearRecord removes the crashes up to a time from a record and lifts a quarantine that they
+// caused.
+func (l *Ledger) clearRecord(d digest.Digest, r *record, at time.Time) {
 	var later []Crash
 	for _, c := range r.crashes {
 		if c.Ended.After(at) {
@@ -234,9 +242,9 @@
 		l.unlink(d, c)
 	}
 	r.crashes = later
-	r.acquitted = at
-	if !r.held.After(at) || !r.bare && !convicts(r.crashes) {
-		r.held, r.bare, r.trials, r.stored = time.Time{}, false, 0, false
+	r.clearedAt = at
+	if !r.quarantinedAt.After(at) || !r.withoutCrashes && !meetsThresholds(r.crashes) {
+		r.quarantinedAt, r.withoutCrashes, r.failedTrials, r.stored = time.Time{}, false, 0, false
 	}
 	if at.After(r.lastSeen) {
 		r.lastSeen = at
@@ -253,14 +261,14 @@
 	l.targets[c.Target] = rest
 }
 
-// Judgement is a verdict with its evidence.
+// Judgement is a verdict with the data it is based on.
 type Judgement struct {
 	Verdict Verdict
 	Stored  bool          // persisted in the store
-	Crashes int           // since the last acquittal
+	Crashes int           // since the request was last cleared
 	Age     time.Duration // of the last crash
-	Trials  int           // failed ones
-	// TrialIn is the delay until the next trial; 0: due. Negative: never.
+	Trials  int           // failed trials
+	// TrialIn is the delay until the next trial; 0: due, negative: never.
 	TrialIn time.Duration
 }
 
@@ -270,68 +278,71 @@
 	if r == nil {
 		return Judgement{}
 	}
-	j := Judgement{Crashes: len(r.crashes), Trials: r.trials, Stored: r.stored}
+	j := Judgement{Crashes: len(r.crashes), Trials: r.failedTrials, Stored: r.stored}
 	if n := len(r.crashes); n > 0 {
 		j.Age = now.Sub(r.crashes[n-1].Ended)
 	}
 	switch {
-	case !r.held.IsZero():
+	case !r.quarantinedAt.IsZero():
 		j.Verdict = Quarantined
 		j.TrialIn = trialIn(r, now)
-	case sequence(l.unexplained(d, r)) >= suspectSequence:
+	case longestSequence(l.unexplained(d, r)) >= suspectSequence:
 		j.Verdict = Suspect
 	}
 	return j
 }
 
 func trialIn(r *record, now time.Time) time.Duration {
-	if r.trials >= len(trialAfter) {
-		return neverTried
+	if r.failedTrials >= len(trialDelays) {
+		return noTrialLeft
 	}
-	return max(r.held.Add(trialAfter[r.trials]).Sub(now), 0)
+	return max(r.quarantinedAt.Add(trialDelays[r.failedTrials]).Sub(now), 0)
 }
 
-// seenInterval is the resolution of a held record's last arrival.
-const seenInterval = keepQuarantined / 6
+// lastSeenResolution is the minimum interval between updates of the last arrival of a
+// quarantined request.
+const lastSeenResolution = quarantineRetention / 6
 
-// Touch records the arrival of a request. It reports whether the record changed.
+// Touch records the arrival of a request in quarantine. It returns whether the record
+// changed.
 func (l *Ledger) Touch(d digest.Digest, now time.Time) bool {
 	r := l.records[d]
-	if r == nil || r.held.IsZero() || now.Sub(r.lastSeen) < seenInterval {
+	if r == nil || r.quarantinedAt.IsZero() || now.Sub(r.lastSeen) < lastSeenResolution {
 		return false
 	}
 	r.lastSeen = now
 	return true
 }
 
-// SetStored marks a held record as persisted. It reports whether the record changed.
+// SetStored marks a quarantined record as persisted. It returns whether the record
+// changed.
 func (l *Ledger) SetStored(d digest.Digest) bool {
 	r := l.records[d]
-	if r == nil || r.held.IsZero() || r.stored {
+	if r == nil || r.quarantinedAt.IsZero() || r.stored {
 		return false
 	}
 	r.stored = true
 	return true
 }
 
-// Hold quarantines a request loaded from the store. It reports whether the record
+// Restore quarantines a request loaded from the store. It returns whether the record
 // changed.
-func (l *Ledger) Hold(d, head digest.Digest, now time.Time) bool {
+func (l *Ledger) Restore(d, head digest.Digest, now time.Time) bool {
 	r := l.record(d, head, now)
-	if !r.held.IsZero() || now.Sub(r.acquitted) < keepAcquitted {
+	if !r.quarantinedAt.IsZero() || now.Sub(r.clearedAt) < clearedRetention {
 		return l.SetStored(d)
 	}
-	r.held, r.lastSeen, r.stored, r.bare = now, now, true, len(r.crashes) == 0
+	r.quarantinedAt, r.lastSeen, r.stored, r.withoutCrashes = now, now, true, len(r.crashes) == 0
 	return true
 }
 
-// Unstored returns the held requests that are not persisted, with the start of their
-// quarantine.
+// Unstored returns the requests in quarantine that are not persisted, with the start of
+// the quarantine.
 func (l *Ledger) Unstored() map[digest.Digest]time.Time {
 	out := make(map[digest.Digest]time.Time)
 	for d, r := range l.records {
-		if !r.held.IsZero() && !r.stored {
-			out[d] = r.held
+		if !r.quarantinedAt.IsZero() && !r.stored {
+			out[d] = r.quarantinedAt
 		}
 	}
 	return out
@@ -352,18 +363,18 @@
 	return r
 }
 
-// Held returns the number of requests in quarantine.
-func (l *Ledger) Held() int {
+// QuarantinedCount returns the number of requests in quarantine.
+func (l *Ledger) QuarantinedCount() int {
 	n := 0
 	for _, r := range l.records {
-		if !r.held.IsZero() {
+		if !r.quarantinedAt.IsZero() {
 			n++
 		}
 	}
 	return n
 }
 
-// Head returns the head digest of a recorded request that has a body, else zero.
+// Head returns the head digest of a recorded request with a body, else zero.
 func (l *Ledger) Head(d digest.Digest) digest.Digest {
 	if r := l.records[d]; r != nil {
 		return r.head
--- a/internal/quarantine/persistence.go
+++ b/internal/quarantine/persistence.go
@@ -13,82 +13,85 @@
 	"masticturn/internal/telemetry"
 )
 
-// Held requests are persisted in the store, for fleets that restart as a whole and for
-// VMs without a path to others. Operators lift one by deleting its object.
+// Requests in quarantine are persisted in the store, so that they survive a restart of
+// the whole fleet and reach VMs that are partitioned from all others. Operators lift a
+// quarantine by deleting its object.
 const (
-	// writers is how many VMs try to persist a record, writerDelay apart.
-	writers     = 3
+	// maxWriters is the number of VMs that try to persist a record, writerDelay partitioned.
+	maxWriters  = 3
 	writerDelay = 2 * time.Second
-	// storeTimeout bounds one call to the store.
+	// storeTimeout is the timeout of a call to the store.
 	storeTimeout = 2 * time.Second
-	// loadInterval is the time between lists of the store while members are suspect.
+	// loadInterval is the interval between lists of the store while it is not loaded or
+	// members are suspect.
 	loadInterval = 2 * time.Second
-	// checkInterval is the time between looks for a deleted object in a fleet of
-	// checkShare VMs; in larger ones each VM looks less often.
-	checkInterval = 10 * time.Second
-	checkShare    = 4
-	// maxDeletes bounds the queue of objects to delete.
+	// checkInterval is the interval at which a VM checks whether an object was deleted, in
+	// a fleet of up to checkersPerInterval VMs. In larger fleets the interval grows with
+	// the number of VMs, which keeps the load on the store constant.
+	checkInterval       = 10 * time.Second
+	checkersPerInterval = 4
+	// maxDeletes is the maximum length of the queue of objects to delete.
 	maxDeletes = 256
 )
 
-// Stored is the value of an object of platform.KindQuarantine, whose name is the
-// digest.
+// Stored is the value of an object of platform.KindQuarantine. The name of the object is
+// the digest of the request.
 type Stored struct {
-	Head      string    `json:"head,omitempty"` // of requests with a body
+	Head      string    `json:"head,omitempty"` // digest of the head, for requests with a body
 	Crashes   int       `json:"crashes"`
 	Since     time.Time `json:"since"`
 	WrittenBy string    `json:"written_by"`
 }
 
-// persistence tracks the store's content. It is not safe for concurrent use.
+// persistence tracks what is in the store. It is not safe for concurrent use.
 type persistence struct {
-	loaded   bool      // the store's content is known
-	loadNext time.Time // earliest time of the next list
-	retry    map[digest.Digest]time.Time
-	checks   map[digest.Digest]time.Time // last look for the object
-	touched  map[digest.Digest]bool      // arrived since the last look
-	deletes  []digest.Digest             // objects to delete
+	loaded         bool      // the content of the store is known
+	nextLoad       time.Time // earliest time of the next load
+	nextWrite      map[digest.Digest]time.Time
+	lastCheck      map[digest.Digest]time.Time // last check for the object
+	arrived        map[digest.Digest]bool      // arrived since the last check
+	pendingDeletes []digest.Digest             // objects to delete
 }
 
 func newPersistence() persistence {
 	return persistence{
-		retry:   make(map[digest.Digest]time.Time),
-		checks:  make(map[digest.Digest]time.Time),
-		touched: make(map[digest.Digest]bool),
+		nextWrite: make(map[digest.Digest]time.Time),
+		lastCheck: make(map[digest.Digest]time.Time),
+		arrived:   make(map[digest.Digest]bool),
 	}
 }
 
 // scheduleDelete queues the deletion of a request's object.
-func (k *persistence) scheduleDelete(d digest.Digest) {
-	if len(k.deletes) < maxDeletes && !slices.Contains(k.deletes, d) {
-		k.deletes = append(k.deletes, d)
+func (p *persistence) scheduleDelete(d digest.Digest) {
+	if len(p.pendingDeletes) < maxDeletes && !slices.Contains(p.pendingDeletes, d) {
+		p.pendingDeletes = append(p.pendingDeletes, d)
 	}
 }
 
-// touch records the arrival of a held request.
-func (k *persistence) touch(d digest.Digest, now time.Time) {
-	if _, ok := k.checks[d]; !ok {
-		k.checks[d] = now
+// touch records the arrival of a quarantined request.
+func (p *persistence) touch(d digest.Digest, now time.Time) {
+	if _, ok := p.lastCheck[d]; !ok {
+		p.lastCheck[d] = now
 	}
-	k.touched[d] = true
+	p.arrived[d] = true
 }
 
-// sweep drops requests that are not on record any more.
-func (k *persistence) sweep(l *Ledger) {
-	for _, times := range []map[digest.Digest]time.Time{k.retry, k.checks} {
+// sweep drops requests without a record.
+func (p *persistence) sweep(l *Ledger) {
+	for _, times := range []map[digest.Digest]time.Time{p.nextWrite, p.lastCheck} {
 		for d := range times {
 			if !l.Has(d) {
 				delete(times, d)
-				delete(k.touched, d)
+				delete(p.arrived, d)
 			}
 		}
 	}
 }
 
-// load lists the store after a restart of the whole fleet, and while members are
-// suspect, since a partition may hide new objects.
+// load merges the objects in the store after a restart of the whole fleet, and while
+// members are suspect, since replication cannot cross a partition.
 func (s *Service) load(ctx context.Context) {
-	if !s.mayLoad() {
+	if !s.listDue() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -100,29 +103,30 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.persisted.loaded = true
+	s.persistence.loaded = true
 	for i := range list {
 		s.importObject(&list[i])
 	}
 }
 
-// mayLoad reports whether a list is due and this VM ranks first among the reachable.
-func (s *Service) mayLoad() bool {
+// listDue reports whether a load is due and this VM ranks first among the reachable VMs. If
+// so, it schedules the next load.
+func (s *Service) listDue() bool {
 	if s.deps.Store == nil || !s.deps.Joined() {
 		return false
 	}
-	apart := s.deps.Members.View().Count(membership.Suspect) > 0
+	partitioned := s.deps.Members.View().Count(membership.Suspect) > 0
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.deps.Clock.Now()
-	if s.persisted.loaded && !apart || now.Before(s.persisted.loadNext) || s.order("quarantine")[0] != s.deps.Self {
+	if s.persistence.loaded && !partitioned || now.Before(s.persistence.nextLoad) || s.rankVMs("quarantine")[0] != s.deps.Self {
 		return false
 	}
-	s.persisted.loadNext = now.Add(loadInterval)
+	s.persistence.nextLoad = now.Add(loadInterval)
 	return true
 }
 
-// importObject merges an object of the store; s.mu is held.
+// importObject merges an object from the store; s.mu is held.
 func (s *Service) importObject(o *platform.Object) {
 	d, err := digest.Parse(o.Name)
 	var value Stored
@@ -134,40 +138,40 @@
 		return
 	}
 	head, _ := digest.Parse(value.Head) // absent for requests without a body
-	s.change(d, "", "kept in the store", func(now time.Time) bool { return s.ledger.Hold(d, head, now) })
+	s.applyChange(d, "", "kept in the store", func(now time.Time) bool { return s.ledger.Restore(d, head, now) })
 }
 
-// persist brings the store up to date.
+// persist writes, deletes and checks the objects that are due.
 func (s *Service) persist(ctx context.Context) {
 	if s.deps.Store == nil {
 		return
 	}
 	for _, d := range s.dueWrites() {
-		s.write(ctx, d)
+		s.createObject(ctx, d)
 	}
 	for _, d := range s.dueDeletes() {
-		s.remove(ctx, d)
+		s.deleteObject(ctx, d)
 	}
 	for _, d := range s.dueChecks() {
-		s.check(ctx, d)
+		s.checkObject(ctx, d)
 	}
 }
 
-// dueWrites returns the requests that this VM is to persist now.
+// dueWrites returns the requests that this VM must persist now.
 func (s *Service) dueWrites() []digest.Digest {
 	s.mu.Lock()
 	unstored := s.ledger.Unstored()
 	s.mu.Unlock()
 	var out []digest.Digest
 	for d, since := range unstored {
-		rank := slices.Index(s.order(d.String()), s.deps.Self)
+		rank := slices.Index(s.rankVMs(d.String()), s.deps.Self)
 		now := s.deps.Clock.Now()
-		if rank >= writers || now.Sub(since) < time.Duration(rank)*writerDelay {
+		if rank >= maxWriters || now.Sub(since) < time.Duration(rank)*writerDelay {
 			continue
 		}
 		s.mu.Lock()
-		if due := !now.Before(s.persisted.retry[d]); due {
-			s.persisted.retry[d] = now.Add(writers * writerDelay)
+		if due := !now.Before(s.persistence.nextWrite[d]); due {
+			s.persistence.nextWrite[d] = now.Add(maxWriters * writerDelay)
 			out = append(out, d)
 		}
 		s.mu.Unlock()
@@ -175,20 +179,20 @@
 	return out
 }
 
-func (s *Service) write(ctx context.Context, d digest.Digest) {
+func (s *Service) createObject(ctx context.Context, d digest.Digest) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	_, err := s.deps.Store.Create(ctx, platform.KindQuarantine, d.String(), s.valueOf(d))
+	_, err := s.deps.Store.Create(ctx, platform.KindQuarantine, d.String(), s.encodeRecord(d))
 	if err != nil && !errors.Is(err, platform.ErrConflict) {
 		s.deps.Logger.Log(eventStoreFailed, telemetry.Step("create"), telemetry.Value("digest", d.String()), telemetry.Err(err))
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(d, "", "stored", func(time.Time) bool { return s.ledger.SetStored(d) })
+	s.applyChange(d, "", "stored", func(time.Time) bool { return s.ledger.SetStored(d) })
 }
 
-func (s *Service) valueOf(d digest.Digest) []byte {
+func (s *Service) encodeRecord(d digest.Digest) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.deps.Clock.Now()
@@ -197,20 +201,20 @@
 	if head := s.ledger.Head(d); head != (digest.Digest{}) {
 		value.Head = head.String()
 	}
-	raw, _ := json.Marshal(value) // plain fields
+	raw, _ := json.Marshal(value) // cannot fail: no field can fail to marshal
 	return raw
 }
 
-// dueDeletes dequeues the objects to delete.
+// dueDeletes empties the queue of objects to delete.
 func (s *Service) dueDeletes() []digest.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.persisted.deletes
-	s.persisted.deletes = nil
+	out := s.persistence.pendingDeletes
+	s.persistence.pendingDeletes = nil
 	return out
 }
 
-func (s *Service) remove(ctx context.Context, d digest.Digest) {
+func (s *Service) deleteObject(ctx context.Context, d digest.Digest) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	o, err := s.deps.Store.Get(ctx, platform.KindQuarantine, d.String())
@@ -223,23 +227,23 @@
 	s.deps.Logger.Log(eventStoreFailed, telemetry.Step("delete"), telemetry.Value("digest", d.String()), telemetry.Err(err))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.persisted.scheduleDelete(d)
+	s.persistence.scheduleDelete(d)
 }
 
-// dueChecks returns the held requests whose objects this VM is to look for now.
+// dueChecks returns the quarantined requests whose objects this VM must check now.
 func (s *Service) dueChecks() []digest.Digest {
 	alive := s.deps.Members.View().Count(membership.Alive)
-	every := checkInterval * time.Duration(max(alive, checkShare)) / checkShare
+	interval := checkInterval * time.Duration(max(alive, checkersPerInterval)) / checkersPerInterval
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.deps.Clock.Now()
 	var out []digest.Digest
-	for d := range s.persisted.touched {
-		if now.Sub(s.persisted.checks[d]) < every {
+	for d := range s.persistence.arrived {
+		if now.Sub(s.persistence.lastCheck[d]) < interval {
 			continue
 		}
-		delete(s.persisted.touched, d)
-		s.persisted.checks[d] = now
+		delete(s.persistence.arrived, d)
+		s.persistence.lastCheck[d] = now
 		if s.ledger.Judge(d, now).Stored {
 			out = append(out, d)
 		}
@@ -247,8 +251,8 @@
 	return out
 }
 
-// check lifts a request whose object was deleted.
-func (s *Service) check(ctx context.Context, d digest.Digest) {
+// checkObject lifts the quarantine of a request if its object was deleted.
+func (s *Service) checkObject(ctx context.Context, d digest.Digest) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	_, err := s.deps.Store.Get(ctx, platform.KindQuarantine, d.String())
@@ -257,5 +261,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(d, "", "lifted", func(now time.Time) bool { return s.ledger.Acquit(d, now) })
+	s.applyChange(d, "", "lifted", func(now time.Time) bool { return s.ledger.Acquit(d, now) })
 }
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -8,18 +8,18 @@
 	"masticturn/internal/digest"
 )
 
-// Report is a record on the wire. Times are sent as ages since clocks differ; the
-// transit time is not added.
+// Report is the wire format of a record. Times are sent as ages because clocks differ;
+// transit time is not accounted for.
 type Report struct {
 	Digest  []byte
-	Head    []byte // empty: the request has no body
+	Head    []byte // empty if the request has no body
 	Crashes []ReportedCrash
-	// AcquittedMS, HeldMS and SeenMS are ages in milliseconds, rounded up; 0: never.
-	AcquittedMS uint32
-	HeldMS      uint32
-	SeenMS      uint32
-	Trials      int
-	Stored      bool
+	// ClearedMS, QuarantinedMS and SeenMS are ages in milliseconds, rounded up; 0: never.
+	ClearedMS     uint32
+	QuarantinedMS uint32
+	SeenMS        uint32
+	FailedTrials  int
+	Stored        bool
 }
 
 // ReportedCrash is a crash in a report.
@@ -29,36 +29,36 @@
 	AgeMS  uint32
 }
 
-// maxAge bounds ages; older events have expired everywhere.
-const maxAge = 2 * keepQuarantined
+// maxReportedAge is the maximum age in a report. Older events have expired on all VMs.
+const maxReportedAge = 2 * quarantineRetention
 
 func ageOf(at, now time.Time) uint32 {
 	if at.IsZero() {
 		return 0
 	}
-	return uint32(max(min(now.Sub(at), maxAge).Milliseconds(), 1))
+	return uint32(max(min(now.Sub(at), maxReportedAge).Milliseconds(), 1))
 }
 
 func timeOf(ageMS uint32, now time.Time) time.Time {
 	if ageMS == 0 {
 		return time.Time{}
 	}
-	return now.Add(-min(time.Duration(ageMS)*time.Millisecond, maxAge))
+	return now.Add(-min(time.Duration(ageMS)*time.Millisecond, maxReportedAge))
 }
 
-// Report returns the record of a request; false if there is none.
+// Report returns a report of the record of a request, or false if there is none.
 func (l *Ledger) Report(d digest.Digest, now time.Time) (Report, bool) {
 	r := l.records[d]
 	if r == nil {
 		return Report{}, false
 	}
 	report := Report{
-		Digest:      d[:],
-		AcquittedMS: ageOf(r.acquitted, now),
-		HeldMS:      ageOf(r.held, now),
-		SeenMS:      ageOf(r.lastSeen, now),
-		Trials:      r.trials,
-		Stored:      r.stored,
+		Digest:        d[:],
+		ClearedMS:     ageOf(r.clearedAt, now),
+		QuarantinedMS: ageOf(r.quarantinedAt, now),
+		SeenMS:        ageOf(r.lastSeen, now),
+		FailedTrials:  r.failedTrials,
+		Stored:        r.stored,
 	}
 	if r.head != (digest.Digest{}) {
 		report.Head = r.head[:]
@@ -69,82 +69,84 @@
 	return report, true
 }
 
-// MergeResult is the effect of a report.
+// MergeResult is the effect of merging a report.
 type MergeResult uint8
 
-// The effects of a report.
+// The effects of merging a report.
 const (
-	Unchanged MergeResult = iota // nothing new
-	Updated                      // to be forwarded to other VMs
-	Refuted                      // the local record is to be sent back
+	Unchanged MergeResult = iota // the record did not change
+	Updated                      // the record changed and must be forwarded to other VMs
+	Refuted                      // the local record contradicts the report and must be sent back
 )
 
-// Merge merges a report. Malformed reports are ignored.
+// Merge merges a report into the ledger. Malformed and expired reports are ignored.
 func (l *Ledger) Merge(report Report, now time.Time) MergeResult {
 	if len(report.Digest) != digest.Size || len(report.Head) != 0 && len(report.Head) != digest.Size {
 		return Unchanged
 	}
 	d, head := digest.Digest(report.Digest), digest.Digest{}
 	copy(head[:], report.Head)
-	if !l.Has(d) && now.Sub(timeOf(report.SeenMS, now)) > report.keep() {
+	if !l.Has(d) && now.Sub(timeOf(report.SeenMS, now)) > report.retention() {
 		return Unchanged
 	}
 	r := l.record(d, head, now)
-	news := false
-	if at := timeOf(report.AcquittedMS, now); at.After(r.acquitted.Add(clockTolerance)) {
-		l.acquit(d, r, at)
-		news = true
+	changed := false
+	if at := timeOf(report.ClearedMS, now); at.After(r.clearedAt.Add(clockTolerance)) {
+		l.clearRecord(d, r, at)
+		changed = true
 	}
 	for _, c := range report.Crashes {
 		ended := timeOf(max(c.AgeMS, 1), now)
-		news = l.addCrash(d, r, Crash{c.Target, ended.Add(-time.Duration(c.RanMS) * time.Millisecond), ended}) || news
+		changed = l.addCrash(d, r, Crash{c.Target, ended.Add(-time.Duration(c.RanMS) * time.Millisecond), ended}) || changed
 	}
-	taken, refuted := l.mergeHeld(d, r, &report, now)
-	news = news || taken
-	if at := timeOf(report.SeenMS, now); at.After(r.lastSeen.Add(seenInterval)) {
+	adopted, refuted := l.mergeQuarantine(d, r, &report, now)
+	changed = changed || adopted
+	if at := timeOf(report.SeenMS, now); at.After(r.lastSeen.Add(lastSeenResolution)) {
 		r.lastSeen = at
-		news = true
+		changed = true
 	}
 	if report.Stored {
-		news = l.SetStored(d) || news
+		changed = l.SetStored(d) || changed
 	}
-	l.hold(d, r, now)
+	l.quarantineIfDue(d, r, now)
 	switch {
-	case refuted && r.held.IsZero():
+	case refuted && r.quarantinedAt.IsZero():
 		return Refuted
-	case news:
+	case changed:
 		return Updated
 	}
 	return Unchanged
 }
 
-// mergeHeld adopts another VM's quarantine. It is refuted if the crashes do not suffice
-// after local acquittals and explanations, which the other VM may not know.
-func (l *Ledger) mergeHeld(d digest.Digest, r *record, report *Report, now time.Time) (taken, refuted bool) {
-	at := timeOf(report.HeldMS, now)
-	if at.IsZero() || !r.held.IsZero() && report.Trials <= r.trials {
+// mergeQuarantine adopts a quarantine reported by another VM. It refutes the report if the
+// crashes do not reach the thresholds given what this VM knows, such as answered runs and
+// crashes caused by other requests, of which the other VM may not have learned.
+func (l *Ledger) mergeQuarantine(d digest.Digest, r *record, report *Report, now time.Time) (adopted, refuted bool) {
+	at := timeOf(report.QuarantinedMS, now)
+	if at.IsZero() || !r.quarantinedAt.IsZero() && report.FailedTrials <= r.failedTrials {
 		return false, false
 	}
-	bare := len(report.Crashes) == 0
-	if bare && !at.After(r.acquitted) || !bare && !l.convicted(d, r) {
+	withoutCrashes := len(report.Crashes) == 0
+	if withoutCrashes && !at.After(r.clearedAt) || !withoutCrashes && !l.shouldQuarantine(d, r) {
 		return false, true
 	}
-	r.bare = bare && r.held.IsZero()
-	r.held = at
-	r.trials = max(r.trials, report.Trials)
+	r.withoutCrashes = withoutCrashes && r.quarantinedAt.IsZero()
+	r.quarantinedAt = at
+	r.failedTrials = max(r.failedTrials, report.FailedTrials)
 	return true, false
 }
 
-// keep returns the retention of the reported record.
-func (r *Report) keep() time.Duration {
-	like := record{crashes: make([]Crash, min(len(r.Crashes), maxCrashes))}
-	if r.HeldMS != 0 {
-		like.held = time.Unix(1, 0)
+// retention returns the retention of a record with the reported contents.
+func (r *Report) retention() time.Duration {
+	rec := record{crashes: make([]Crash, min(len(r.Crashes), maxCrashesPerRecord))}
+	if r.QuarantinedMS != 0 {
+		rec.quarantinedAt = time.Unix(1, 0)
 	}
-	return like.keep()
+	return rec.retention()
 }
 
-// Suspicious returns the requests with more than one crash, and those held, sorted.
+// Suspicious returns the requests with more than one crash and those in quarantine,
+// sorted by digest.
 func (l *Ledger) Suspicious() []digest.Digest {
 	var out []digest.Digest
 	for d, r := range l.records {
--- a/internal/quarantine/retention.go
+++ b/internal/quarantine/retention.go
@@ -9,7 +9,7 @@
 	"masticturn/internal/digest"
 )
 
-// evict makes room for one record.
+// evict removes a record if the ledger is full.
 func (l *Ledger) evict(now time.Time) {
 	if len(l.records) < maxRecords {
 		return
@@ -18,17 +18,18 @@
 	if len(l.records) < maxRecords {
 		return
 	}
-	first := slices.MinFunc(slices.Collect(maps.Keys(l.records)), func(a, b digest.Digest) int {
+	victim := slices.MinFunc(slices.Collect(maps.Keys(l.records)), func(a, b digest.Digest) int {
 		x, y := l.records[a], l.records[b]
 		return cmp.Or(cmp.Compare(x.severity(), y.severity()), x.lastSeen.Compare(y.lastSeen))
 	})
-	l.drop(first)
+	l.drop(victim)
 }
 
-// severity orders records for eviction, the least severe first.
+// severity is the eviction priority of a record. Records with a lower severity are
+// evicted first.
 func (r *record) severity() int {
-	if !r.held.IsZero() {
-		return maxCrashes + 1
+	if !r.quarantinedAt.IsZero() {
+		return maxCrashesPerRecord + 1
 	}
 	return len(r.crashes)
 }
@@ -47,20 +48,20 @@
 // Sweep drops expired records.
 func (l *Ledger) Sweep(now time.Time) {
 	for d, r := range l.records {
-		if now.Sub(r.lastSeen) > r.keep() {
+		if now.Sub(r.lastSeen) > r.retention() {
 			l.drop(d)
 		}
 	}
 }
 
-func (r *record) keep() time.Duration {
+func (r *record) retention() time.Duration {
 	switch {
-	case !r.held.IsZero():
-		return keepQuarantined
+	case !r.quarantinedAt.IsZero():
+		return quarantineRetention
 	case len(r.crashes) == 0:
-		return keepAcquitted
+		return clearedRetention
 	case len(r.crashes) >= suspectSequence:
-		return keepSuspect
+		return suspectRetention
 	}
-	return keepSingle
+	return singleCrashRetention
 }
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -21,14 +21,14 @@
 // ServiceName is the name under which the service is registered.
 const ServiceName = "quarantine"
 
-// Subject is the identity of a request as far as it is known.
+// Subject identifies a request by the digests that are known so far.
 type Subject struct {
-	Whole digest.Digest // zero until the whole body has arrived
+	Whole digest.Digest // of the whole request; zero until the body is complete
 	Lead  digest.Digest // of the head and the beginning of a streamed body, else zero
-	Head  digest.Digest // of requests with a body, else zero
+	Head  digest.Digest // of the head, for requests with a body, else zero
 }
 
-// digests returns the digests that are known.
+// digests returns the known digests of the request.
 func (s Subject) digests() []digest.Digest {
 	var out []digest.Digest
 	for _, d := range [...]digest.Digest{s.Whole, s.Lead} {
@@ -39,49 +39,51 @@
 	return out
 }
 
-// best returns the most specific digest; zero if none is known.
-func (s Subject) best() digest.Digest {
+// mostSpecific returns the most specific known digest, or zero if there is none.
+func (s Subject) mostSpecific() digest.Digest {
 	if s.Whole != (digest.Digest{}) {
 		return s.Whole
 	}
 	return s.Lead
 }
 
-// Refusal is a rejection with its evidence.
+// Refusal is the rejection of a request.
 type Refusal struct {
 	Digest digest.Digest
 	Judgement
-	// RetryAfter is when the caller may retry; 0: it should not.
+	// RetryAfter is the delay after which the caller may retry; 0: it should not retry.
 	RetryAfter time.Duration
 }
 
 // Screen decides which requests may run, and records the outcomes of runs.
 type Screen interface {
-	// Active reports whether any request is on record. It is one atomic load.
+	// Active reports whether there is a record of any request. It costs one atomic load.
 	Active() bool
-	// Has reports whether a request is on record.
+	// Has reports whether there is a record of a request.
 	Has(s Subject) bool
-	// HasHead reports whether a request with this head and a body is on record, so that
-	// the body is needed to identify the request.
+	// HasHead reports whether there is a record of a request with this head and a body,
+	// so that the body is needed to identify the request.
 	HasHead(head digest.Digest) bool
-	// Enter screens an arriving request. For a lease it calls another VM.
+	// Enter checks an arriving request. A suspect request needs a lease, which may require
+	// a call to another VM. If the request is clear, both results are nil.
 	Enter(ctx context.Context, s Subject) (*Pass, *Refusal)
-	// Barred screens a request without a lease again before it is sent; nil: it may be.
+	// Barred checks a request without a lease again before it is sent to a target. It
+	// returns nil if the request may run.
 	Barred(s Subject) *Refusal
 	// Crashed records the crash of a target during a run.
 	Crashed(s Subject, target string, began, ended time.Time)
-	// Answered records an answered run.
+	// Answered records an answered run, which clears the request.
 	Answered(s Subject)
 }
 
-// Deps is what a Service needs.
+// Deps are the dependencies of a Service.
 type Deps struct {
 	Self    string // name of this VM
 	Members membership.Source
-	// Partners returns the VMs to which this one floods changes. The graph of partners
-	// must be connected.
+	// Partners returns the VMs to which this one forwards changed records. The graph of
+	// partners must be connected.
 	Partners func() []string
-	// Joined reports whether this VM has the member list, or is alone.
+	// Joined reports whether this VM has received the member list or is the only member.
 	Joined func() bool
 	// FirstStart is set when the whole fleet starts for the first time, with an empty
 	// store.
@@ -93,28 +95,28 @@
 	Metrics    *metrics.Set
 }
 
-// Service runs a Ledger and shares it with the other VMs.
+// Service maintains a Ledger and replicates it to the other VMs.
 type Service struct {
 	deps    Deps
-	meter   meter
+	stats   serviceMetrics
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
-	updates chan struct{} // records are queued
-	returns chan struct{} // partners are alive again
+	updates chan struct{} // signals that records are queued
+	rejoins chan struct{} // signals that partners are alive again
 	active  atomic.Bool
 
 	unsubscribe func()
 
-	mu        sync.Mutex // guards all below
-	ledger    *Ledger
-	pending   map[digest.Digest]string // queued records with the VM they came from
-	budget    *rate.Limiter            // bytes of single-crash reports
-	leases    *leases
-	denied    map[digest.Digest]time.Time // next lease request
-	persisted persistence
-	turn      int             // of anti-entropy
-	alive     map[string]bool // in the last view
-	returned  []string        // partners that are alive again
+	mu                 sync.Mutex // guards the fields below
+	ledger             *Ledger
+	pending            map[digest.Digest]string // queued records, with the VM that each came from
+	singleCrashLimiter *rate.Limiter            // limits the bytes of single-crash reports
+	leases             *leaseTable
+	deniedUntil        map[digest.Digest]time.Time // earliest time of the next lease request
+	persistence        persistence
+	round              int             // number of ticks of anti-entropy
+	alive              map[string]bool // members alive in the last view
+	rejoined           []string        // partners that are alive again
 }
 
 var (
@@ -128,18 +130,18 @@
 		d.Metrics = metrics.NewSet()
 	}
 	s := &Service{
-		deps:      d,
-		meter:     newMeter(d.Metrics),
-		updates:   make(chan struct{}, 1),
-		returns:   make(chan struct{}, 1),
-		ledger:    NewLedger(),
-		pending:   make(map[digest.Digest]string),
-		budget:    rate.NewLimiter(singleBytesPerSecond, singleBytesBurst),
-		leases:    newLeases(),
-		denied:    make(map[digest.Digest]time.Time),
-		persisted: newPersistence(),
+		deps:               d,
+		stats:              newServiceMetrics(d.Metrics),
+		updates:            make(chan struct{}, 1),
+		rejoins:            make(chan struct{}, 1),
+		ledger:             NewLedger(),
+		pending:            make(map[digest.Digest]string),
+		singleCrashLimiter: rate.NewLimiter(singleCrashBytesPerSecond, singleCrashBytesBurst),
+		leases:             newLeaseTable(),
+		deniedUntil:        make(map[digest.Digest]time.Time),
+		persistence:        newPersistence(),
 	}
-	s.persisted.loaded = d.Store == nil || d.FirstStart
+	s.persistence.loaded = d.Store == nil || d.FirstStart
 	d.Network.Handle(peer.KindQuarantineReports, s.handleReports)
 	d.Network.Handle(peer.KindQuarantineSync, s.handleSync)
 	d.Network.Handle(peer.KindQuarantineLease, s.handleLease)
@@ -153,13 +155,14 @@
 // Start implements kernel.Service. It does not wait for the other VMs.
 func (s *Service) Start(ctx context.Context) error {
 	ctx, s.cancel = context.WithCancel(ctx)
-	s.unsubscribe = s.deps.Members.Subscribe(s.follow)
+	s.unsubscribe = s.deps.Members.Subscribe(s.handleViewChange)
 	s.wg.Go(func() { s.run(ctx) })
 	s.wg.Go(func() { s.publishLoop(ctx) })
 	return nil
 }
 
-// Drain implements kernel.Service. Requests in flight still need it.
+// Drain implements kernel.Service. It does nothing: requests in flight still need the
+// service.
 func (s *Service) Drain(context.Context) error { return nil }
 
 // Stop implements kernel.Service.
@@ -179,8 +182,8 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case <-s.returns:
-			s.syncReturned(ctx)
+		case <-s.rejoins:
+			s.syncRejoined(ctx)
 		case <-ticker.C:
 			s.tick(ctx)
 		case <-ctx.Done():
@@ -195,7 +198,7 @@
 		return
 	}
 	s.sweep()
-	s.compare(ctx)
+	s.runAntiEntropy(ctx)
 	s.persist(ctx)
 }
 
@@ -205,13 +208,13 @@
 	now := s.deps.Clock.Now()
 	s.ledger.Sweep(now)
 	s.leases.sweep(now)
-	for d, until := range s.denied {
+	for d, until := range s.deniedUntil {
 		if now.After(until) {
-			delete(s.denied, d)
+			delete(s.deniedUntil, d)
 		}
 	}
-	s.persisted.sweep(s.ledger)
-	s.count()
+	s.persistence.sweep(s.ledger)
+	s.updateCounts()
 	if len(s.pending) > 0 {
 		signal(s.updates)
 	}
@@ -225,10 +228,10 @@
 	}
 }
 
-// count updates what depends on the number of records; s.mu is held.
-func (s *Service) count() {
+// updateCounts updates the active flag and the gauges; s.mu is held.
+func (s *Service) updateCounts() {
 	s.active.Store(s.ledger.Len() > 0)
-	s.meter.count(s.ledger)
+	s.stats.update(s.ledger)
 }
 
 // Active implements Screen.
@@ -250,14 +253,14 @@
 
 // Crashed implements Screen.
 func (s *Service) Crashed(subject Subject, target string, began, ended time.Time) {
-	d := subject.best()
+	d := subject.mostSpecific()
 	if d == (digest.Digest{}) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.meter.crashes.Inc()
-	s.change(d, "", "crash", func(now time.Time) bool {
+	s.stats.crashes.Inc()
+	s.applyChange(d, "", "crash", func(now time.Time) bool {
 		return s.ledger.Crashed(d, subject.Head, Crash{TargetID(target), began, ended}, now)
 	})
 }
@@ -270,30 +273,30 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range subject.digests() {
-		s.acquit(d, "answered")
+		s.clearRequest(d, "answered")
 	}
 }
 
-// acquit clears a request; s.mu is held.
-func (s *Service) acquit(d digest.Digest, cause string) {
+// clearRequest clears a request; s.mu is held.
+func (s *Service) clearRequest(d digest.Digest, cause string) {
 	stored := s.ledger.Judge(d, s.deps.Clock.Now()).Stored
-	acquitted := s.change(d, "", cause, func(now time.Time) bool { return s.ledger.Acquit(d, now) })
-	if acquitted && stored {
-		s.persisted.scheduleDelete(d)
+	cleared := s.applyChange(d, "", cause, func(now time.Time) bool { return s.ledger.Acquit(d, now) })
+	if cleared && stored {
+		s.persistence.scheduleDelete(d)
 	}
 }
 
-// change applies a change to a record, and publishes and logs it if it had an effect;
-// s.mu is held. From is the VM it came from, empty for this one.
-func (s *Service) change(d digest.Digest, from, cause string, do func(now time.Time) bool) bool {
+// applyChange applies a change to a record, and publishes and logs it if the record changed;
+// s.mu is held. from is the VM that reported the change, empty for this one.
+func (s *Service) applyChange(d digest.Digest, from, cause string, apply func(now time.Time) bool) bool {
 	now := s.deps.Clock.Now()
 	before := s.ledger.Judge(d, now)
-	if !do(now) {
+	if !apply(now) {
 		return false
 	}
 	s.publish(d, from)
 	s.logChange(d, &before, cause, now)
-	s.count()
+	s.updateCounts()
 	return true
 }
 
@@ -324,35 +327,35 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, j := s.judge(subject)
+	d, j := s.assess(subject)
 	if j.Verdict == Clear {
 		return nil
 	}
 	return s.refusal(d, j, suspectRetryAfter)
 }
 
-// judge returns the worst verdict on a request's digests; s.mu is held.
-func (s *Service) judge(subject Subject) (digest.Digest, Judgement) {
+// assess returns the most severe verdict on a request's digests; s.mu is held.
+func (s *Service) assess(subject Subject) (digest.Digest, Judgement) {
 	var worst digest.Digest
 	var j Judgement
 	now := s.deps.Clock.Now()
 	for _, d := range subject.digests() {
-		if this := s.ledger.Judge(d, now); worst == (digest.Digest{}) || this.Verdict > j.Verdict {
-			worst, j = d, this
+		if candidate := s.ledger.Judge(d, now); worst == (digest.Digest{}) || candidate.Verdict > j.Verdict {
+			worst, j = d, candidate
 		}
 	}
 	return worst, j
 }
 
-// suspectRetryAfter is the retry advice while another run holds the lease.
+// suspectRetryAfter is the maximum Retry-After value for suspect requests.
 const suspectRetryAfter = 500 * time.Millisecond
 
-// refusal returns a rejection; s.mu is held.
-func (s *Service) refusal(d digest.Digest, j Judgement, again time.Duration) *Refusal {
-	s.meter.refused(j.Verdict).Inc()
+// refusal returns a rejection and counts it; s.mu is held.
+func (s *Service) refusal(d digest.Digest, j Judgement, retryAfter time.Duration) *Refusal {
+	s.stats.refused(j.Verdict).Inc()
 	r := &Refusal{Digest: d, Judgement: j}
 	if j.Verdict == Suspect {
-		r.RetryAfter = again
+		r.RetryAfter = retryAfter
 	}
 	return r
 }
--- a/internal/quarantine/spread.go
+++ b/internal/quarantine/spread.go
@@ -14,31 +14,33 @@
 	"masticturn/internal/peer"
 )
 
-// Changed records are flooded: each VM forwards to its heartbeat partners what was new
-// to it. Anti-entropy with one partner at a time repairs lost messages and partitions.
+// Changed records are replicated by flooding: each VM forwards the changes that are new
+// to it to its heartbeat partners. Anti-entropy with one partner at a time recovers from
+// lost messages and partitions.
 const (
-	// singleBytesPerSecond and singleBytesBurst limit reports of single crashes, of
-	// which the loss of an availability zone causes thousands. Others are not limited.
-	singleBytesPerSecond = 4 << 10
-	singleBytesBurst     = 64 << 10
-	// singleMaxAge is the age from which single crashes are not reported, to keep the
-	// backlog short.
-	singleMaxAge = 2 * time.Second
+	// singleCrashBytesPerSecond and singleCrashBytesBurst limit the bandwidth of
+	// reports of single crashes, since the loss of an availability zone causes thousands.
+	// Other reports are not limited.
+	singleCrashBytesPerSecond = 4 << 10
+	singleCrashBytesBurst     = 64 << 10
+	// singleCrashMaxAge is the age above which single crashes are not reported, which
+	// bounds the queue.
+	singleCrashMaxAge = 2 * time.Second
 	// reportBytes and crashBytes are the approximate sizes of a report and of a crash.
 	reportBytes = 40
 	crashBytes  = 12
-	// compareEvery is the number of ticks between two rounds of anti-entropy.
-	compareEvery = 2
-	// compareTimeout bounds the call to a partner.
-	compareTimeout = time.Second
-	// bootstrapPause is the pause between polls of peers for the first records, and
-	// bootstrapTimeout bounds each.
-	bootstrapPause    = 50 * time.Millisecond
+	// antiEntropyTicks is the number of ticks between two rounds of anti-entropy.
+	antiEntropyTicks = 2
+	// antiEntropyTimeout is the timeout of the call to a partner.
+	antiEntropyTimeout = time.Second
+	// bootstrapInterval is the delay between attempts to load the records at the start, and
+	// bootstrapTimeout the timeout of a call to one partner.
+	bootstrapInterval = 50 * time.Millisecond
 	bootstrapTimeout  = 300 * time.Millisecond
 	bootstrapAttempts = 20
 )
 
-// publish queues a record for all partners but the one that sent it; s.mu is held.
+// publish queues a record for all partners except the one that sent it; s.mu is held.
 func (s *Service) publish(d digest.Digest, from string) {
 	if before, ok := s.pending[d]; ok && before != from {
 		from = ""
@@ -59,45 +61,45 @@
 	}
 }
 
-// flush sends the queued records that the limit allows.
+// flush sends the queued records, as far as the bandwidth limit allows.
 func (s *Service) flush() {
 	partners := s.deps.Partners()
 	s.mu.Lock()
-	news := s.takePending(len(partners))
+	queued := s.takePending(len(partners))
 	s.mu.Unlock()
 	for _, partner := range partners {
 		var reports []Report
-		for i := range news {
-			if news[i].from != partner {
-				reports = append(reports, news[i].report)
+		for i := range queued {
+			if queued[i].from != partner {
+				reports = append(reports, queued[i].report)
 			}
 		}
 		if len(reports) > 0 {
-			_ = s.deps.Network.Send(partner, peer.KindQuarantineReports, reports) // anti-entropy repairs a lost one
+			_ = s.deps.Network.Send(partner, peer.KindQuarantineReports, reports) // anti-entropy recovers lost messages
 		}
 	}
 }
 
-// pendingReport is a queued report with the VM it came from, if any.
+// pendingReport is a queued report and the VM it came from, if any.
 type pendingReport struct {
 	report Report
 	from   string
 }
 
-// single reports whether the report is of a single crash at most.
-func (n *pendingReport) single() bool {
-	return len(n.report.Crashes) < suspectSequence && n.report.HeldMS == 0
+// isSingleCrash reports whether the report has at most one crash and no quarantine.
+func (p *pendingReport) isSingleCrash() bool {
+	return len(p.report.Crashes) < suspectSequence && p.report.QuarantinedMS == 0
 }
 
-// priority orders reports; lower ones go first.
-func (n *pendingReport) priority() int {
-	if n.single() {
+// priority is the order in which reports are sent, lowest first.
+func (p *pendingReport) priority() int {
+	if p.isSingleCrash() {
 		return 1
 	}
 	return 0
 }
 
-// takePending dequeues the reports to send now; s.mu is held.
+// takePending removes and returns the reports to send now; s.mu is held.
 func (s *Service) takePending(partners int) []pendingReport {
 	now := s.deps.Clock.Now()
 	all := s.pendingReports(now)
@@ -106,7 +108,7 @@
 	})
 	for i := range all {
 		r := &all[i].report
-		if all[i].single() && !s.budget.AllowN(now, partners*(reportBytes+crashBytes*len(r.Crashes))) {
+		if all[i].isSingleCrash() && !s.singleCrashLimiter.AllowN(now, partners*(reportBytes+crashBytes*len(r.Crashes))) {
 			return all[:i]
 		}
 		delete(s.pending, digest.Digest(r.Digest))
@@ -114,17 +116,17 @@
 	return all
 }
 
-// pendingReports returns the queued reports, dropping outdated ones; s.mu is held.
+// pendingReports returns the queued reports and drops outdated ones; s.mu is held.
 func (s *Service) pendingReports(now time.Time) []pendingReport {
 	var out []pendingReport
 	for d, from := range s.pending {
 		report, ok := s.ledger.Report(d, now)
-		n := pendingReport{report, from}
-		if !ok || n.single() && report.SeenMS > uint32(singleMaxAge.Milliseconds()) {
+		p := pendingReport{report, from}
+		if !ok || p.isSingleCrash() && report.SeenMS > uint32(singleCrashMaxAge.Milliseconds()) {
 			delete(s.pending, d)
 			continue
 		}
-		out = append(out, n)
+		out = append(out, p)
 	}
 	return out
 }
@@ -152,7 +154,7 @@
 	if err != nil {
 		return
 	}
-	s.change(d, from, "reported by "+from, func(now time.Time) bool {
+	s.applyChange(d, from, "reported by "+from, func(now time.Time) bool {
 		switch s.ledger.Merge(*report, now) {
 		case Updated:
 			return true
@@ -163,20 +165,20 @@
 	})
 }
 
-// syncRequest is the message of peer.KindQuarantineSync, a call.
+// syncRequest is the request of peer.KindQuarantineSync.
 type syncRequest struct {
-	Sum uint64 // checksum of the suspicious records
+	Checksum uint64 // checksum of the suspicious records
 }
 
-// syncAnswer is its answer.
-type syncAnswer struct {
-	Sum     uint64
-	Loaded  bool     // the store's content is known to the VM
-	Reports []Report // all suspicious records, if the sums differ
+// syncResponse is the response to syncRequest.
+type syncResponse struct {
+	Checksum uint64
+	Loaded   bool     // the VM knows the content of the store
+	Reports  []Report // all suspicious records, if the checksums differ
 }
 
-// sum returns a checksum of the suspicious records; s.mu is held.
-func (s *Service) sum() uint64 {
+// checksum returns a checksum of the suspicious records; s.mu is held.
+func (s *Service) checksum() uint64 {
 	h := xxhash.New()
 	now := s.deps.Clock.Now()
 	for _, d := range s.ledger.Suspicious() {
@@ -187,8 +189,8 @@
 	return h.Sum64()
 }
 
-// suspected returns reports of all suspicious records; s.mu is held.
-func (s *Service) suspected() []Report {
+// suspiciousReports returns reports of all suspicious records; s.mu is held.
+func (s *Service) suspiciousReports() []Report {
 	var out []Report
 	for _, d := range s.ledger.Suspicious() {
 		if r, ok := s.ledger.Report(d, s.deps.Clock.Now()); ok {
@@ -205,53 +207,54 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := &syncAnswer{Sum: s.sum(), Loaded: s.persisted.loaded}
-	if a.Sum != r.Sum {
-		a.Reports = s.suspected()
+	a := &syncResponse{Checksum: s.checksum(), Loaded: s.persistence.loaded}
+	if a.Checksum != r.Checksum {
+		a.Reports = s.suspiciousReports()
 	}
 	return a, nil
 }
 
-// syncWith exchanges suspicious records with a partner. It reports whether the partner
-// answered.
+// syncWith exchanges suspicious records with a partner. It returns whether the partner
+// responded.
 func (s *Service) syncWith(ctx context.Context, partner string) bool {
 	s.mu.Lock()
-	sum := s.sum()
+	checksum := s.checksum()
 	s.mu.Unlock()
-	var a syncAnswer
-	if err := s.deps.Network.Call(ctx, partner, peer.KindQuarantineSync, &syncRequest{sum}, &a); err != nil {
+	var a syncResponse
+	if err := s.deps.Network.Call(ctx, partner, peer.KindQuarantineSync, &syncRequest{checksum}, &a); err != nil {
 		return false
 	}
 	s.mergeAll(partner, a.Reports)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.persisted.loaded = s.persisted.loaded || a.Loaded
-	if s.sum() == a.Sum {
+	s.persistence.loaded = s.persistence.loaded || a.Loaded
+	if s.checksum() == a.Checksum {
 		return true
 	}
-	if reports := s.suspected(); len(reports) > 0 {
-		_ = s.deps.Network.Send(partner, peer.KindQuarantineReports, reports) // repeated in the next round
+	if reports := s.suspiciousReports(); len(reports) > 0 {
+		_ = s.deps.Network.Send(partner, peer.KindQuarantineReports, reports) // if it is lost, the next round repeats it
 	}
 	return true
 }
 
-// compare runs anti-entropy with the next partner.
-func (s *Service) compare(ctx context.Context) {
+// runAntiEntropy runs anti-entropy with the next partner, every antiEntropyTicks calls.
+func (s *Service) runAntiEntropy(ctx context.Context) {
 	partners := s.deps.Partners()
 	s.mu.Lock()
-	s.turn++
-	turn, idle := s.turn, len(s.ledger.Suspicious()) == 0
+	s.round++
+	round, idle := s.round, len(s.ledger.Suspicious()) == 0
 	s.mu.Unlock()
-	if idle || len(partners) == 0 || turn%compareEvery != 0 {
+	if idle || len(partners) == 0 || round%antiEntropyTicks != 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, compareTimeout)
+	ctx, cancel := context.WithTimeout(ctx, antiEntropyTimeout)
 	defer cancel()
-	s.syncWith(ctx, partners[turn/compareEvery%len(partners)])
+	s.syncWith(ctx, partners[round/antiEntropyTicks%len(partners)])
 }
 
-// follow queues anti-entropy with partners that are alive again, as after a partition.
-func (s *Service) follow(v *membership.View) {
+// handleViewChange queues anti-entropy with partners that have become alive again, as after
+// a partition.
+func (s *Service) handleViewChange(v *membership.View) {
 	alive := make(map[string]bool, len(v.Members))
 	for i := range v.Members {
 		if v.Members[i].State == membership.Alive {
@@ -263,52 +266,51 @@
 	defer s.mu.Unlock()
 	for _, partner := range partners {
 		if alive[partner] && s.alive != nil && !s.alive[partner] {
-			s.returned = append(s.returned, partner)
+			s.rejoined = append(s.rejoined, partner)
 		}
 	}
 	s.alive = alive
-	if len(s.returned) > 0 {
-		signal(s.returns)
+	if len(s.rejoined) > 0 {
+		signal(s.rejoins)
 	}
 }
 
-// syncReturned runs anti-entropy with partners that are alive again.
-func (s *Service) syncReturned(ctx context.Context) {
+// syncRejoined runs anti-entropy with partners that have become alive again.
+func (s *Service) syncRejoined(ctx context.Context) {
 	s.mu.Lock()
-	back := s.returned
-	s.returned = nil
+	partners := s.rejoined
+	s.rejoined = nil
 	if len(s.ledger.Suspicious()) == 0 {
-		back = nil
+		partners = nil
 	}
 	s.mu.Unlock()
-	for _, partner := range back {
-		asked, cancel := context.WithTimeout(ctx, bootstrapTimeout)
-		s.syncWith(asked, partner)
+	for _, partner := range partners {
+		callCtx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
+		s.syncWith(callCtx, partner)
 		cancel()
 	}
 }
 
-// bootstrap loads the records from partners or, if all VMs have restarted, from the
-// store.
+// bootstrap loads the records from partners or, if all VMs have restarted, from the store.
 func (s *Service) bootstrap(ctx context.Context) {
 	for ctx.Err() == nil && !s.deps.Joined() {
-		pause(ctx, bootstrapPause)
+		sleep(ctx, bootstrapInterval)
 	}
 	for try := 0; try < bootstrapAttempts && ctx.Err() == nil && !s.bootstrapFromPartners(ctx); try++ {
 		s.load(ctx)
-		pause(ctx, bootstrapPause)
+		sleep(ctx, bootstrapInterval)
 	}
 }
 
-// bootstrapFromPartners asks partners until one has loaded the store. It reports whether
-// the store's content is known now.
+// bootstrapFromPartners synchronizes with partners until one knows the content of the
+// store. It returns whether one did.
 func (s *Service) bootstrapFromPartners(ctx context.Context) bool {
 	for _, partner := range s.deps.Partners() {
-		asked, cancel := context.WithTimeout(ctx, bootstrapTimeout)
-		s.syncWith(asked, partner)
+		callCtx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
+		s.syncWith(callCtx, partner)
 		cancel()
 		s.mu.Lock()
-		loaded := s.persisted.loaded
+		loaded := s.persistence.loaded
 		s.mu.Unlock()
 		if loaded {
 			return true
@@ -317,8 +319,8 @@
 	return false
 }
 
-// pause waits, or returns early when the context is done.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until the context is done.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
