--- a/internal/idempotency/bench_test.go
+++ b/internal/idempotency/bench_test.go
@@ -15,9 +15,9 @@
 	"masticturn/internal/telemetry"
 )
 
-// BenchmarkKeyedRun claims and finishes one key after the other, with fakes
-// that answer at once: what it costs besides the way to the platform or to the
-// owner, and how many calls to the platform.
+// BenchmarkKeyedRun claims and finishes keys sequentially, with fakes that respond without
+// delay. It measures the overhead excluding network and store latency, and the number of
+// store calls per key.
 func BenchmarkKeyedRun(b *testing.B) {
 	for _, way := range []string{wayLocal, wayRemote, wayStored} {
 		b.Run(way, func(b *testing.B) {
@@ -41,7 +41,7 @@
 			for i := 0; b.Loop(); i++ {
 				key := fmt.Sprint("k", i)
 				if owner := owners[way]; owner != nil {
-					key = owner.issue().String() + keySeparator + key
+					key = owner.issueTicket().String() + keySeparator + key
 				}
 				c, err := at.Claim(b.Context(), &Request{Service: "s", Key: key})
 				if err != nil {
--- a/internal/idempotency/claimant.go
+++ b/internal/idempotency/claimant.go
@@ -6,157 +6,158 @@
 	"masticturn/internal/platform"
 )
 
-// ClaimState is the state of a claim in the platform.
+// ClaimState is the state of a claim object in the platform store.
 type ClaimState string
 
-// The states of a claim in the platform.
+// The states of a claim object.
 const (
 	ClaimRunning  ClaimState = "running"
 	ClaimAnswered ClaimState = "answered"
-	ClaimLost     ClaimState = "unknown"
-	ClaimReleased ClaimState = "not-run"
+	ClaimUnknown  ClaimState = "unknown" // the outcome of the run is unknown
+	ClaimReleased ClaimState = "not-run" // the key may be claimed again
 )
 
 // claimObject is the value of a platform.KindClaim object.
 type claimObject struct {
-	Token       string      `json:"token"` // of the run; unique
+	Token       string      `json:"token"` // unique ID of the run
 	VM          string      `json:"vm"`
 	Incarnation uint64      `json:"incarnation"`
 	Fingerprint Fingerprint `json:"fingerprint"`
 	State       ClaimState  `json:"state"`
-	Answer      *Answer     `json:"answer,omitempty"`
+	Response    *Answer     `json:"answer,omitempty"`
 }
 
-// ClaimStep is a step of claiming a key in the platform.
+// ClaimStep is a step of claiming a key in the platform store.
 type ClaimStep string
 
-// The steps of a claim, each a call except ClaimPause and ClaimDone.
+// The steps of a claim. All except ClaimPause and ClaimDone make a call.
 const (
 	ClaimCreate   ClaimStep = "create"    // create the claim object
-	ClaimRead     ClaimStep = "read"      // read who holds the key
-	ClaimTakeOver ClaimStep = "take-over" // replace a claim whose run surely did not happen
-	ClaimAsk      ClaimStep = "ask"       // ask the holder's instance
-	ClaimPause    ClaimStep = "pause"     // wait before reading or asking again
-	ClaimDone     ClaimStep = "done"      // the verdict is there
+	ClaimRead     ClaimStep = "read"      // read the existing claim object
+	ClaimTakeOver ClaimStep = "take-over" // replace a claim whose holder declared that it did not run
+	ClaimQuery    ClaimStep = "ask"       // query the holder's instance for the state of its run
+	ClaimPause    ClaimStep = "pause"     // wait before retrying a step
+	ClaimDone     ClaimStep = "done"      // the verdict is available
 )
 
-// Steps lists the steps of a claim.
+// Steps returns the steps of a claim.
 func Steps() []ClaimStep {
-	return []ClaimStep{ClaimCreate, ClaimRead, ClaimTakeOver, ClaimAsk, ClaimPause, ClaimDone}
+	return []ClaimStep{ClaimCreate, ClaimRead, ClaimTakeOver, ClaimQuery, ClaimPause, ClaimDone}
 }
 
-// claimEvent is what came of the step that was asked for.
-type claimEvent struct {
-	err     error            // of a call to the platform, typed, or of asking
-	version platform.Version // written or read
-	object  claimObject      // read
-	verdict Verdict          // of the holder
-	answer  *Answer          // of the holder
+// stepResult is the result of a step.
+type stepResult struct {
+	err      error            // from the store or from the query to the holder
+	version  platform.Version // of the object that was written or read
+	object   claimObject      // that was read
+	verdict  Verdict          // returned by the holder
+	response *Answer          // returned by the holder
 }
 
-// claimant claims a key in the platform. It does no I/O: step tells what to do
-// next, and next takes what came of it.
+// claimant is the state machine that claims a key in the platform store. It does no
+// I/O: the caller performs the current step and passes its result to next.
 //
-// At most one run: a run needs a claim object with its own token. Such an
-// object comes by a create, which succeeds once for a name, or by a conditional
-// update of an object whose run its own holder declared not run. No claim is
-// taken over because of time, so that a paused holder does no harm.
+// A key runs at most once because a run requires a claim object with the token of the
+// run. The object is written by a create, which succeeds once per name, or by a
+// conditional update of an object whose holder declared that it did not run. Claims
+// never time out, so a paused holder cannot cause a second run.
 type claimant struct {
 	own claimObject
 
-	step    ClaimStep
-	after   ClaimStep // what follows a pause
-	version platform.Version
-	holder  claimObject
-	// written tells that a write of ours may have taken effect, or may still.
-	written bool
+	step       ClaimStep
+	afterPause ClaimStep // the step that follows ClaimPause
+	version    platform.Version
+	holder     claimObject
+	// writeUncertain is set if the outcome of a write is unknown: it may have taken effect or
+	// may do so later.
+	writeUncertain bool
 
-	verdict Verdict // when step is ClaimDone; 0: the platform can't tell now
-	answer  *Answer
+	verdict  Verdict // set at ClaimDone; 0: the platform cannot decide now
+	response *Answer
 }
 
 func newClaimant(own claimObject) *claimant { return &claimant{own: own, step: ClaimCreate} }
 
-// next takes the result of the current step.
-func (c *claimant) next(ev claimEvent) {
+// next advances the state machine with the result of the current step.
+func (c *claimant) next(result stepResult) {
 	switch c.step {
 	case ClaimCreate, ClaimTakeOver:
-		c.wrote(ev)
+		c.handleWrite(result)
 	case ClaimRead:
-		c.read(ev)
-	case ClaimAsk:
-		c.asked(ev)
+		c.handleRead(result)
+	case ClaimQuery:
+		c.handleQuery(result)
 	case ClaimPause:
-		c.step = c.after
+		c.step = c.afterPause
 	}
 }
 
-func (c *claimant) done(v Verdict, a *Answer) {
-	c.step, c.verdict, c.answer = ClaimDone, v, a
+func (c *claimant) finish(v Verdict, a *Answer) {
+	c.step, c.verdict, c.response = ClaimDone, v, a
 }
 
-func (c *claimant) pause(after ClaimStep) { c.step, c.after = ClaimPause, after }
+func (c *claimant) pause(after ClaimStep) { c.step, c.afterPause = ClaimPause, after }
 
-func (c *claimant) wrote(ev claimEvent) {
-	switch kindOf(ev.err) {
-	case writeDone:
-		c.version = ev.version
-		c.done(VerdictRun, nil)
-	case writeConflict:
+func (c *claimant) handleWrite(result stepResult) {
+	switch classify(result.err) {
+	case callSucceeded:
+		c.version = result.version
+		c.finish(VerdictRun, nil)
+	case callConflict:
 		if c.step == ClaimTakeOver {
-			c.pause(ClaimRead) // another was faster, or the read before was stale
+			c.pause(ClaimRead) // another VM took over first, or the previous read was stale
 			return
 		}
 		c.step = ClaimRead
-	case writeUnknown:
-		c.written = true
+	case callUnknown:
+		c.writeUncertain = true
 		c.step = ClaimRead
 	default:
-		c.done(0, nil)
+		c.finish(0, nil)
 	}
 }
 
-func (c *claimant) read(ev claimEvent) {
-	switch kindOf(ev.err) {
-	case writeDone:
-		c.found(ev)
-	case readNotFound:
-		c.pause(ClaimCreate) // a stale read, or our write has no effect yet
+func (c *claimant) handleRead(result stepResult) {
+	switch classify(result.err) {
+	case callSucceeded:
+		c.handleObject(result)
+	case callNotFound:
+		c.pause(ClaimCreate) // the read was stale, or the write has not taken effect yet
 	default:
-		c.done(0, nil)
+		c.finish(0, nil)
 	}
 }
 
-func (c *claimant) found(ev claimEvent) {
-	c.version, c.holder = ev.version, ev.object
+func (c *claimant) handleObject(result stepResult) {
+	c.version, c.holder = result.version, result.object
 	switch {
-	case ev.object.Token == c.own.Token && ev.object.State == ClaimRunning:
-		c.done(VerdictRun, nil)
-	case ev.object.State == ClaimReleased:
+	case result.object.Token == c.own.Token && result.object.State == ClaimRunning:
+		c.finish(VerdictRun, nil)
+	case result.object.State == ClaimReleased:
 		c.step = ClaimTakeOver
-	case ev.object.Fingerprint != c.own.Fingerprint:
-		c.done(VerdictMismatch, nil)
-	case ev.object.State == ClaimAnswered && ev.object.Answer != nil:
-		c.done(VerdictReplay, ev.object.Answer)
-	case ev.object.State == ClaimLost:
-		c.done(VerdictLost, nil)
+	case result.object.Fingerprint != c.own.Fingerprint:
+		c.finish(VerdictMismatch, nil)
+	case result.object.State == ClaimAnswered && result.object.Response != nil:
+		c.finish(VerdictReplay, result.object.Response)
+	case result.object.State == ClaimUnknown:
+		c.finish(VerdictUnknown, nil)
 	default:
-		c.step = ClaimAsk
+		c.step = ClaimQuery
 	}
 }
 
-func (c *claimant) asked(ev claimEvent) {
+func (c *claimant) handleQuery(result stepResult) {
 	switch {
-	case ev.err != nil:
-		c.done(0, nil)
-	case ev.verdict == VerdictRun:
-		c.step = ClaimTakeOver // the holder declares that its run never was
-	case ev.verdict == VerdictBusy:
-		c.pause(ClaimAsk)
+	case result.err != nil:
+		c.finish(0, nil)
+	case result.verdict == VerdictRun:
+		c.step = ClaimTakeOver // the holder declared that it did not run
+	case result.verdict == VerdictBusy:
+		c.pause(ClaimQuery)
 	default:
-		c.done(ev.verdict, ev.answer)
+		c.finish(result.verdict, result.response)
 	}
 }
 
-// claimPause is the wait before a claim is read again.
-const claimPause = 50 * time.Millisecond
+// claimRetryDelay is the delay before a step of a claim is retried.
+const claimRetryDelay = 50 * time.Millisecond
--- a/internal/idempotency/errors.go
+++ b/internal/idempotency/errors.go
@@ -9,38 +9,38 @@
 	"masticturn/internal/platform"
 )
 
-// callResult is what an error of the platform means for a claim.
+// callResult classifies the result of a call to the platform store.
 type callResult uint8
 
 const (
-	writeDone callResult = iota
-	writeConflict
-	writeUnknown
-	readNotFound
+	callSucceeded callResult = iota
+	callConflict
+	callUnknown
+	callNotFound
 	callFailed
 )
 
-func kindOf(err error) callResult {
+func classify(err error) callResult {
 	switch {
 	case err == nil:
-		return writeDone
+		return callSucceeded
 	case errors.Is(err, platform.ErrConflict):
-		return writeConflict
+		return callConflict
 	case errors.Is(err, platform.ErrUnknownOutcome):
-		return writeUnknown
+		return callUnknown
 	case errors.Is(err, platform.ErrNotFound):
-		return readNotFound
+		return callNotFound
 	}
 	return callFailed
 }
 
-// retryAfter is the advice when the owner or the platform can't be asked now.
+// retryAfter is the Retry-After value if the state of a key is not available now.
 const retryAfter = 2 * time.Second
 
-// refusal turns a verdict that is neither a run nor an answer into the error
-// for the caller. This call ran nothing in all cases; the outcome is NotRun
-// only when no earlier call under the key ran it either.
-func refusal(v Verdict, owner string, cause error) *outcome.Error {
+// claimError returns the caller's error for a verdict other than VerdictRun and
+// VerdictReplay. This call never ran the request; the outcome is NotRun only if no
+// earlier call with the key ran it either.
+func claimError(v Verdict, owner string, cause error) *outcome.Error {
 	e := &outcome.Error{Outcome: outcome.Unknown, Step: outcome.StepClaim, Peer: owner, Status: http.StatusConflict, Err: cause}
 	switch v {
 	case VerdictMismatch:
@@ -55,13 +55,13 @@
 	case VerdictBusy:
 		e.RetryAfter = retryAfter
 		e.Reason = "an earlier request under the key is still running"
-	case VerdictDropped:
+	case VerdictResponseDropped:
 		e.Reason = "an earlier request under the key was answered; its answer is no longer kept"
-	case VerdictLost:
+	case VerdictUnknown:
 		e.Reason = "an earlier request under the key ended without a known result"
 	case VerdictExpired:
 		e.Reason = "the key is too old to know whether it was run"
-	case VerdictGone:
+	case VerdictOwnerGone:
 		e.Reason = "the process that knew whether the key was run is gone"
 	default:
 		e.Status, e.RetryAfter = http.StatusServiceUnavailable, retryAfter
--- a/internal/idempotency/faults_claim_test.go
+++ b/internal/idempotency/faults_claim_test.go
@@ -13,8 +13,8 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// pausingStore lets a process stand still after a call that went through,
-// before it sees the answer.
+// pausingStore calls a hook after each call to the store, before the caller gets the
+// result. The hook may block to simulate a paused process.
 type pausingStore struct {
 	platform.Store
 	after func(op platform.Op)
@@ -38,14 +38,14 @@
 	return o, err
 }
 
-// opOf are the calls of the steps of a claim at the platform.
+// opOf maps the steps of a claim to store operations.
 var opOf = map[ClaimStep]platform.Op{
 	ClaimCreate: platform.OpCreate, ClaimRead: platform.OpGet, ClaimTakeOver: platform.OpUpdate,
 }
 
-// released returns a fleet whose key was claimed once by a run that ended not
-// run, so that a claim goes through create, read and take-over.
-func released(t *testing.T) (f *fleet, a, b *Keys) {
+// newReleasedFleet returns a fleet with a claim that was released by a run with the
+// outcome NotRun, so that the next claim goes through create, read and take-over.
+func newReleasedFleet(t *testing.T) (f *fleet, a, b *Keys) {
 	f = newFleet(t)
 	if _, err := f.do(f.start("c"), key(nil), "x", outcome.NotRun); err != nil {
 		t.Fatal(err)
@@ -54,23 +54,24 @@
 	return f, f.start("a"), f.start("b")
 }
 
-// wantRuns checks that the key was run once and its answer is kept.
-func (f *fleet) wantRuns(k *Keys, runs int) {
+// checkRuns checks the number of runs of the key and, if it is 1, that the response is
+// replayed.
+func (f *fleet) checkRuns(k *Keys, runs int) {
 	f.t.Helper()
 	got, err := f.do(k, key(nil), "x", outcome.Answered)
 	if f.runs[key(nil)] != runs || runs == 1 && got != "answer to x" {
-		f.t.Errorf("%d runs, want %d; then %q, %v", f.runs[key(nil)], runs, got, err)
+		f.t.Errorf("%d runs, want %d; a repeated request got %q, %v", f.runs[key(nil)], runs, got, err)
 	}
 }
 
-// TestPausedClaimantNeverMeansASecondRun has a claimant stand still for a
-// minute after each of its calls, while another one claims the same key.
+// Guards against a second run if the claimant is paused for a minute after one of its
+// store calls while another VM claims the same key.
 func TestPausedClaimantNeverMeansASecondRun(t *testing.T) {
 	for step, op := range opOf {
 		for _, fresh := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, fresh key %v", step, fresh), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f, a, b := released(t)
+					f, a, b := newReleasedFleet(t)
 					if fresh {
 						f.store = platformtest.NewStore()
 						a.deps.Store, b.deps.Store = f.store, f.store
@@ -90,21 +91,21 @@
 					if !paused.Load() && !fresh {
 						t.Error("the step was not reached")
 					}
-					f.wantRuns(f.start("c"), 1)
+					f.checkRuns(f.start("c"), 1)
 				})
 			})
 		}
 	}
 }
 
-// TestClaimantThatDiesLeavesNoSecondRun ends the claimant after each of its
-// calls: its claim may hold the key for good, which is unknown, never a run of
-// somebody else beside one that may go on.
+// Guards against a second run if the claimant's process ends after one of its store
+// calls. If its claim was stored, the outcome of the key stays unknown, since the run may
+// have begun.
 func TestClaimantThatDiesLeavesNoSecondRun(t *testing.T) {
 	for step, op := range opOf {
 		t.Run(string(step), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, a, b := released(t)
+				f, a, b := newReleasedFleet(t)
 				dead := make(chan struct{})
 				a.deps.Store = &pausingStore{f.store, func(o platform.Op) {
 					if o == op {
@@ -117,7 +118,7 @@
 					_, _ = a.Claim(context.Background(), &Request{Service: "s", Key: key(nil), Fingerprint: FingerprintOf("POST", "/", []byte("x"))})
 				}()
 				synctest.Wait()
-				f.start("a") // the next process of that VM
+				f.start("a") // restarts the VM
 				_, err := f.do(b, key(nil), "x", outcome.Answered)
 				want := 1
 				if step == ClaimTakeOver {
@@ -137,13 +138,13 @@
 	}
 }
 
-// TestStaleReadsMeanNoSecondRun claims a key while reads show a claim as it
-// was: released, or not there.
+// Guards against a second run if the store returns stale reads, in which the claim is
+// still released or does not exist yet.
 func TestStaleReadsMeanNoSecondRun(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		t.Run(fmt.Sprintf("released before %v", first), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, a, b := released(t)
+				f, a, b := newReleasedFleet(t)
 				if !first {
 					f.store = platformtest.NewStore()
 					a.deps.Store, b.deps.Store = f.store, f.store
@@ -154,22 +155,21 @@
 					time.Sleep(time.Minute)
 				}
 				f.store.Thaw()
-				f.wantRuns(b, 1)
+				f.checkRuns(b, 1)
 			})
 		})
 	}
 }
 
-// TestSilentPlatformMeansNoSecondRun has the answers of one step stay away for
-// as long as the client waits; the writes have no effect, an effect, or one
-// that comes late.
+// Guards against a second run if a store call times out. The write may have had no
+// effect, have taken effect, or take effect later.
 func TestSilentPlatformMeansNoSecondRun(t *testing.T) {
 	const clientWaits = 3 * time.Second
 	for step, op := range opOf {
 		for _, fault := range []platformtest.Fault{platformtest.FaultLostRequest, platformtest.FaultLostAnswer, platformtest.FaultLateEffect} {
 			t.Run(fmt.Sprintf("%s/%d", step, fault), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f, a, b := released(t)
+					f, a, b := newReleasedFleet(t)
 					var struck atomic.Bool
 					f.store.SetHook(func(_ context.Context, c platformtest.Call) platformtest.Fault {
 						if c.Op != op || !struck.CompareAndSwap(false, true) {
@@ -189,15 +189,15 @@
 						_, _ = f.do(b, key(nil), "x", outcome.Answered)
 						time.Sleep(time.Minute)
 					}
-					f.wantRuns(a, 1)
+					f.checkRuns(a, 1)
 				})
 			})
 		}
 	}
 }
 
-// TestEndThatIsNotRecordedIsTold has the platform silent when the end of a run
-// is to be written: others learn it from the instance that ran.
+// Guards against losing an outcome that cannot be written to the store: other VMs must
+// get it by querying the instance that ran the request.
 func TestEndThatIsNotRecordedIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -211,8 +211,8 @@
 		if _, err := f.do(a, key(nil), "x", outcome.Answered); err != nil {
 			t.Fatal(err)
 		}
-		f.wantRuns(b, 1)
+		f.checkRuns(b, 1)
 		time.Sleep(time.Minute)
-		f.wantRuns(b, 1)
+		f.checkRuns(b, 1)
 	})
 }
--- a/internal/idempotency/issue.go
+++ b/internal/idempotency/issue.go
@@ -8,124 +8,124 @@
 	"masticturn/internal/wait"
 )
 
-// prefetchAll is the size up to which tickets of all members are fetched ahead;
-// in a larger fleet those of the own region are.
-const prefetchAll = 64
+// maxPrefetchFleet is the fleet size up to which tickets of all members are prefetched. In
+// larger fleets only those of members in the VM's own region are.
+const maxPrefetchFleet = 64
 
-// issue returns a ticket of this instance.
-func (k *Keys) issue() Ticket { return Ticket{k.deps.Self, k.now()} }
+// issueTicket returns a new ticket of this instance.
+func (k *Keys) issueTicket() Ticket { return Ticket{k.deps.Self, k.now()} }
 
-// Subscribe makes f be called when Ticket would return new tickets, so that
-// answers made from older ones are made again. f may be called from several
-// goroutines at once. Subscribe must be called before Start.
-func (k *Keys) Subscribe(f func()) { k.changed = append(k.changed, f) }
+// Subscribe registers f, which is called when Ticket may return new tickets, so that
+// lookup responses built from older ones can be rebuilt. f may be called from several
+// goroutines concurrently. Subscribe must be called before Start.
+func (k *Keys) Subscribe(f func()) { k.subscribers = append(k.subscribers, f) }
 
-// Ticket returns a ticket of the named instance, or "" while none is known;
-// then one is asked for in the background.
+// Ticket returns a ticket of the given instance. If none is known, it returns "" and
+// fetches one in the background.
 func (k *Keys) Ticket(vm string, incarnation uint64) string {
-	who := Instance{vm, incarnation}
-	if who == k.deps.Self {
-		return k.issue().String()
+	instance := Instance{vm, incarnation}
+	if instance == k.deps.Self {
+		return k.issueTicket().String()
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if t, ok := k.tickets[who]; ok {
+	if t, ok := k.tickets[instance]; ok {
 		return t.String()
 	}
-	k.startFetch(who)
+	k.startFetch(instance)
 	return ""
 }
 
-// Follow fetches tickets of the members ahead, before look-ups name them, and
-// forgets those of instances that are gone.
+// Follow prefetches tickets of the members, before lookups need them, and drops those
+// of instances that are gone.
 func (k *Keys) Follow(v *membership.View) {
 	wanted := make(map[Instance]bool)
 	self, _ := v.Member(k.deps.Self.VM)
 	for _, m := range v.Members {
-		near := len(v.Members) <= prefetchAll || m.Region == self.Region
-		if near && m.Name != k.deps.Self.VM && m.State == membership.Alive {
+		prefetch := len(v.Members) <= maxPrefetchFleet || m.Region == self.Region
+		if prefetch && m.Name != k.deps.Self.VM && m.State == membership.Alive {
 			wanted[Instance{m.Name, m.Incarnation}] = true
 		}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.wanted = wanted
-	for who := range wanted {
-		if _, ok := k.tickets[who]; !ok {
-			k.startFetch(who)
+	for instance := range wanted {
+		if _, ok := k.tickets[instance]; !ok {
+			k.startFetch(instance)
 		}
 	}
-	for who := range k.tickets {
-		m, ok := v.Member(who.VM)
-		if !ok || m.Incarnation != who.Incarnation {
-			delete(k.tickets, who)
+	for instance := range k.tickets {
+		m, ok := v.Member(instance.VM)
+		if !ok || m.Incarnation != instance.Incarnation {
+			delete(k.tickets, instance)
 		}
 	}
 }
 
-// startFetch asks for a ticket, once at a time. It is called with mu held.
-func (k *Keys) startFetch(who Instance) {
-	if k.asking[who] || k.deps.Network == nil {
+// startFetch starts fetching a ticket unless a fetch is in progress; k.mu is held.
+func (k *Keys) startFetch(instance Instance) {
+	if k.fetching[instance] || k.deps.Network == nil {
 		return
 	}
-	k.asking[who] = true
-	go k.fetch(who)
+	k.fetching[instance] = true
+	go k.fetch(instance)
 }
 
-// fetch asks for a ticket until there is one or none is wanted any more. In
-// the end answers are made again, which may ask for it again.
-func (k *Keys) fetch(who Instance) {
-	for !k.fetchOnce(who) {
-		time.Sleep(ticketRetry)
+// fetch fetches a ticket and retries while the instance is wanted. It then notifies the
+// subscribers, which may request the ticket again.
+func (k *Keys) fetch(instance Instance) {
+	for !k.fetchOnce(instance) {
+		time.Sleep(ticketRetryDelay)
 		k.mu.Lock()
-		wanted := k.wanted[who]
+		wanted := k.wanted[instance]
 		k.mu.Unlock()
 		if !wanted {
 			break
 		}
 	}
 	k.mu.Lock()
-	delete(k.asking, who)
+	delete(k.fetching, instance)
 	k.mu.Unlock()
 	k.notify()
 }
 
-// fetchOnce asks another instance for a ticket. One that does not answer loses
-// its ticket, so that no key is bound to it.
-func (k *Keys) fetchOnce(who Instance) bool {
-	answer, err := k.callOnce(context.Background(), who.VM, &ownerRequest{Op: opTicket, Incarnation: who.Incarnation})
-	t, ok := ParseKey(answer.Ticket + keySeparator + "-")
-	ok = ok && err == nil && t.Instance == who
+// fetchOnce fetches a ticket from another instance. If the instance does not respond,
+// its known ticket is dropped, so that no new keys are bound to it.
+func (k *Keys) fetchOnce(instance Instance) bool {
+	response, err := k.callOnce(context.Background(), instance.VM, &ownerRequest{Op: opTicket, Incarnation: instance.Incarnation})
+	t, ok := ParseKey(response.Ticket + keySeparator + "-")
+	ok = ok && err == nil && t.Instance == instance
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if ok {
-		k.tickets[who] = t
+		k.tickets[instance] = t
 	} else {
-		delete(k.tickets, who)
+		delete(k.tickets, instance)
 	}
 	return ok
 }
 
 func (k *Keys) notify() {
-	for _, f := range k.changed {
+	for _, f := range k.subscribers {
 		f()
 	}
 }
 
-// renewTickets replaces all tickets by younger ones from time to time.
+// renewTickets renews all tickets periodically.
 func (k *Keys) renewTickets(ctx context.Context) {
-	wait.Every(ctx, ticketRenew, k.renewAll)
+	wait.Every(ctx, ticketRenewInterval, k.renewAll)
 }
 
 func (k *Keys) renewAll() {
 	k.mu.Lock()
 	known := make([]Instance, 0, len(k.tickets))
-	for who := range k.tickets {
-		known = append(known, who)
+	for instance := range k.tickets {
+		known = append(known, instance)
 	}
 	k.mu.Unlock()
-	for _, who := range known {
-		k.fetchOnce(who)
+	for _, instance := range known {
+		k.fetchOnce(instance)
 	}
 	k.notify()
 }
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -20,19 +20,18 @@
 // ServiceName is the name under which the service is registered.
 const ServiceName = "idempotency.keys"
 
-// Bounds that hold whatever the document says.
 const (
-	ticketLife     = time.Hour
-	ticketRenew    = 5 * time.Minute // age at which tickets are replaced by younger ones
-	ticketRetry    = 2 * time.Second // until a VM that gave no ticket is asked again
-	defaultBytes   = 32 << 20
-	defaultKeep    = 15 * time.Minute
-	maxTokens      = 16384            // abandoned tokens that are remembered
-	backgroundTime = 10 * time.Second // one write of a run's end to the platform or its owner
-	backgroundMax  = 256              // such writes at once; above, memory alone knows the end
+	ticketLifetime      = time.Hour
+	ticketRenewInterval = 5 * time.Minute // period of renewal
+	ticketRetryDelay    = 2 * time.Second // delay after a failed fetch
+	defaultMaxBytes     = 32 << 20        // unless set in the document
+	defaultRetention    = 15 * time.Minute
+	maxAbandonedTokens  = 16384
+	backgroundTimeout   = 10 * time.Second // for writing one outcome to the platform or the key's owner
+	maxBackgroundWrites = 256              // concurrent writes; further outcomes are kept in memory only
 )
 
-// Deps is what Keys needs.
+// Deps are the dependencies of Keys.
 type Deps struct {
 	Self    Instance
 	Store   platform.Store
@@ -43,22 +42,22 @@
 	Metrics *metrics.Set
 }
 
-// Keys claims keys: in this process's memory or its owner's when the key
-// begins with a ticket, else in the platform.
+// Keys implements Registry. A key that begins with a ticket is claimed in the memory of
+// the instance that issued the ticket, any other key in the platform store.
 type Keys struct {
-	deps       Deps
-	startedAt  time.Time
-	background chan struct{}
-	claims     map[string]*metrics.Counter
-
-	mu        sync.Mutex
-	ledger    *ledger             // guarded by mu
-	pending   map[string]struct{} // tokens of claims under way; guarded by mu
-	abandoned *tokenSet           // tokens whose claim may still take effect, never to run; guarded by mu
-	tickets   map[Instance]Ticket // of other instances; guarded by mu
-	asking    map[Instance]bool   // tickets being fetched; guarded by mu
-	wanted    map[Instance]bool   // members whose tickets are fetched until they come; guarded by mu
-	changed   []func()            // called when there are new tickets; set before Start
+	deps            Deps
+	startedAt       time.Time
+	backgroundSlots chan struct{}
+	claims          map[string]*metrics.Counter
+
+	mu          sync.Mutex
+	ledger      *ledger             // guarded by mu
+	pending     map[string]struct{} // tokens of claims in progress; guarded by mu
+	abandoned   *tokenSet           // tokens that will not run although their claim may be stored; guarded by mu
+	tickets     map[Instance]Ticket // of other instances; guarded by mu
+	fetching    map[Instance]bool   // tickets being fetched; guarded by mu
+	wanted      map[Instance]bool   // instances whose tickets are fetched until one arrives; guarded by mu
+	subscribers []func()            // called when there are new tickets; set before Start
 }
 
 var (
@@ -66,33 +65,33 @@
 	_ kernel.Service = (*Keys)(nil)
 )
 
-// NewKeys returns the keys of this process instance. It registers the handler
-// of peer.KindKeyOwner, so that it must be called before the network starts.
+// NewKeys returns the registry of this process instance. It registers the handler of
+// peer.KindKeyOwner and must therefore be called before the network starts.
 func NewKeys(d Deps) (*Keys, error) {
 	if err := d.Self.Validate(); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	k := &Keys{
-		deps:       d,
-		startedAt:  d.Clock.Now(),
-		background: make(chan struct{}, backgroundMax),
-		ledger:     newLedger(),
-		pending:    make(map[string]struct{}),
-		abandoned:  newTokenSet(maxTokens),
-		tickets:    make(map[Instance]Ticket),
-		asking:     make(map[Instance]bool),
+		deps:            d,
+		startedAt:       d.Clock.Now(),
+		backgroundSlots: make(chan struct{}, maxBackgroundWrites),
+		ledger:          newLedger(),
+		pending:         make(map[string]struct{}),
+		abandoned:       newTokenSet(maxAbandonedTokens),
+		tickets:         make(map[Instance]Ticket),
+		fetching:        make(map[Instance]bool),
 	}
 	k.claims = map[string]*metrics.Counter{}
 	for _, way := range []string{wayLocal, wayRemote, wayStored} {
 		k.claims[way] = d.Metrics.GetOrCreateCounter(`masticturn_key_claims_total{way="` + way + `"}`)
 	}
 	if d.Network != nil {
-		d.Network.Handle(peer.KindKeyOwner, k.serveOwner)
+		d.Network.Handle(peer.KindKeyOwner, k.handleOwnerRequest)
 	}
 	return k, nil
 }
 
-// The ways of claiming, as a metric's label.
+// Values of the metric label "way": where a key is claimed.
 const (
 	wayLocal  = "local"
 	wayRemote = "owner"
@@ -108,18 +107,17 @@
 	return nil
 }
 
-// Drain implements kernel.Service: it waits for runs' ends that are still
-// being written.
+// Drain implements kernel.Service. It waits for background writes of outcomes.
 func (k *Keys) Drain(ctx context.Context) error {
-	for range backgroundMax {
+	for range maxBackgroundWrites {
 		select {
-		case k.background <- struct{}{}:
+		case k.backgroundSlots <- struct{}{}:
 		case <-ctx.Done():
 			return trace.Wrap(ctx.Err(), "write the ends of keyed runs")
 		}
 	}
-	for range backgroundMax {
-		<-k.background
+	for range maxBackgroundWrites {
+		<-k.backgroundSlots
 	}
 	return nil
 }
@@ -127,24 +125,24 @@
 // Stop implements kernel.Service.
 func (k *Keys) Stop(context.Context) error { return nil }
 
-// now is the time since this instance started.
+// now returns the time since this instance started.
 func (k *Keys) now() time.Duration { return k.deps.Clock.Now().Sub(k.startedAt) }
 
-// bounds returns what may be kept.
-func (k *Keys) bounds() Bounds {
-	b := Bounds{Bytes: defaultBytes, Keep: defaultKeep, Ticket: ticketLife}
+// limits returns the limits of the ledger, from the document if it sets them.
+func (k *Keys) limits() LedgerLimits {
+	limits := LedgerLimits{MaxBytes: defaultMaxBytes, Retention: defaultRetention, TicketLifetime: ticketLifetime}
 	snap := k.deps.Config.Current()
 	if snap == nil {
-		return b
+		return limits
 	}
-	limits := &snap.Document.Limits
-	if limits.RecordedAnswersBytes > 0 {
-		b.Bytes = limits.RecordedAnswersBytes
+	configured := &snap.Document.Limits
+	if configured.RecordedAnswersBytes > 0 {
+		limits.MaxBytes = configured.RecordedAnswersBytes
 	}
-	if limits.RecordedAnswersMS > 0 {
-		b.Keep = limits.RecordedAnswersMS.Duration()
+	if configured.RecordedAnswersMS > 0 {
+		limits.Retention = configured.RecordedAnswersMS.Duration()
 	}
-	return b
+	return limits
 }
 
 // Claim implements Registry.
@@ -158,55 +156,55 @@
 		k.claims[wayLocal].Inc()
 		return k.claimLocal(ctx, r, t)
 	case t.VM == k.deps.Self.VM:
-		return nil, refusal(VerdictGone, t.VM, nil)
+		return nil, claimError(VerdictOwnerGone, t.VM, nil)
 	}
 	k.claims[wayRemote].Inc()
 	return k.claimRemote(ctx, r, t)
 }
 
-// keyName is the name of a key over all services.
-func keyName(r *Request) string { return r.Service + "/" + r.Key }
+// qualifiedKey returns the key qualified by its service.
+func qualifiedKey(r *Request) string { return r.Service + "/" + r.Key }
 
 func newToken() string { return rand.Text() }
 
-// replayed is a Claim with a recorded answer.
-type replayed struct{ answer *Answer }
+// replayedClaim is a Claim with a recorded response.
+type replayedClaim struct{ response *Answer }
 
 // Replay implements Claim.
-func (r replayed) Replay() *Answer { return r.answer }
+func (r replayedClaim) Replay() *Answer { return r.response }
 
-// Finish implements Claim; there is no run.
-func (r replayed) Finish(outcome.Outcome, *Answer) {}
+// Finish implements Claim. It does nothing, as there is no run.
+func (r replayedClaim) Finish(outcome.Outcome, *Answer) {}
 
 // claimLocal claims a key that this instance owns.
 func (k *Keys) claimLocal(ctx context.Context, r *Request, t Ticket) (Claim, error) {
-	key, token := keyName(r), newToken()
+	key, token := qualifiedKey(r), newToken()
 	for {
 		k.mu.Lock()
-		v, e := k.ledger.claim(k.now(), key, token, r.Fingerprint, t.Issued, k.bounds())
-		var answer *Answer
+		v, e := k.ledger.claim(k.now(), key, token, r.Fingerprint, t.Issued, k.limits())
+		var response *Answer
 		var done <-chan struct{}
 		if e != nil {
-			answer, done = e.answer, e.done
+			response, done = e.response, e.done
 		}
 		k.mu.Unlock()
 		switch v {
 		case VerdictRun:
 			return &localRun{k: k, key: key, token: token}, nil
 		case VerdictReplay:
-			return replayed{answer}, nil
+			return replayedClaim{response}, nil
 		case VerdictBusy:
-			if !ended(ctx, done) {
-				return nil, refusal(VerdictBusy, "", context.Cause(ctx))
+			if !waitDone(ctx, done) {
+				return nil, claimError(VerdictBusy, "", context.Cause(ctx))
 			}
 		default:
-			return nil, refusal(v, "", nil)
+			return nil, claimError(v, "", nil)
 		}
 	}
 }
 
-// ended waits for done; false when the context ended first.
-func ended(ctx context.Context, done <-chan struct{}) bool {
+// waitDone waits for done. It returns false if the context ends first.
+func waitDone(ctx context.Context, done <-chan struct{}) bool {
 	select {
 	case <-done:
 		return true
@@ -215,7 +213,7 @@
 	}
 }
 
-// localRun is a run under a key of this instance.
+// localRun is a run with a key that this instance owns.
 type localRun struct {
 	k          *Keys
 	key, token string
@@ -230,19 +228,20 @@
 func (k *Keys) finish(key, token string, o outcome.Outcome, a *Answer) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.ledger.finish(k.now(), key, token, o, a, k.bounds())
+	k.ledger.finish(k.now(), key, token, o, a, k.limits())
 }
 
-// inBackground runs f, which tells others of a run's end, within bounds.
+// inBackground runs f, which writes an outcome, in a goroutine. If too many are running
+// already, f is dropped.
 func (k *Keys) inBackground(f func(ctx context.Context)) {
 	select {
-	case k.background <- struct{}{}:
+	case k.backgroundSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-k.background }()
-		ctx, cancel := context.WithTimeout(context.Background(), backgroundTime)
+		defer func() { <-k.backgroundSlots }()
+		ctx, cancel := context.WithTimeout(context.Background(), backgroundTimeout)
 		defer cancel()
 		f(ctx)
 	}()
--- a/internal/idempotency/keys_test.go
+++ b/internal/idempotency/keys_test.go
@@ -29,7 +29,7 @@
 func (noConfig) Current() *config.Snapshot               { return nil }
 func (noConfig) Subscribe(func(*config.Snapshot)) func() { return func() {} }
 
-// fleet is some instances on one platform and one network.
+// fleet is a set of instances with a common store and network.
 type fleet struct {
 	t     *testing.T
 	hub   *peertest.Hub
@@ -37,14 +37,14 @@
 	next  uint64
 
 	mu   sync.Mutex
-	runs map[string]int // of each key, without those that ended not run
+	runs map[string]int // number of runs per key, excluding those with the outcome NotRun
 }
 
 func newFleet(t *testing.T) *fleet {
 	return &fleet{t: t, hub: peertest.NewHub(1), store: platformtest.NewStore(), runs: make(map[string]int)}
 }
 
-// start starts a VM, again with a new incarnation if it was there.
+// start starts or restarts a VM with a new incarnation.
 func (f *fleet) start(vm string) *Keys {
 	f.t.Helper()
 	f.next++
@@ -62,8 +62,8 @@
 	return k
 }
 
-// do handles one request under a key: it runs it if it may, and finishes with
-// the outcome. It returns the answer's body, "" when there is none.
+// do handles a request with a key. If the claim is granted, it runs the request and
+// finishes with the given outcome. It returns the body of a replayed response, else "".
 func (f *fleet) do(k *Keys, key, body string, end outcome.Outcome) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -88,25 +88,25 @@
 	return "", nil
 }
 
-// key returns a key of the way; owner is the VM whose ticket it carries.
+// key returns a key with a ticket of the owner, or one without a ticket if it is nil.
 func key(owner *Keys) string {
 	if owner == nil {
 		return "plain key"
 	}
-	return owner.issue().String() + keySeparator + "mine"
+	return owner.issueTicket().String() + keySeparator + "mine"
 }
 
 func wantOutcome(t *testing.T, err error, want outcome.Outcome) {
 	t.Helper()
 	var e *outcome.Error
 	if !errors.As(err, &e) || e.Outcome != want || e.Step != outcome.StepClaim {
-		t.Errorf("got %v, want %s at claim", err, want)
+		t.Errorf("got %v, want outcome %s at step claim", err, want)
 	}
 }
 
-// ways runs a test with a key owned by the first VM, by the second, and with
-// one that is claimed in the platform.
-func ways(t *testing.T, test func(t *testing.T, f *fleet, a, b *Keys, key string)) {
+// testOwners runs a test with a key owned by the first VM, with one owned by the second, and
+// with one claimed in the platform store.
+func testOwners(t *testing.T, test func(t *testing.T, f *fleet, a, b *Keys, key string)) {
 	for _, way := range []string{"ticket of the first", "ticket of the second", "platform"} {
 		t.Run(way, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -119,8 +119,8 @@
 	}
 }
 
-func TestRepeatedKeyGetsTheRecordedAnswer(t *testing.T) {
-	ways(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
+func TestRepeatedKeyGetsRecordedResponse(t *testing.T) {
+	testOwners(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
 		if _, err := f.do(a, key, "x", outcome.Answered); err != nil {
 			t.Fatal(err)
 		}
@@ -135,8 +135,8 @@
 	})
 }
 
-func TestRepeatWaitsForTheRunningOne(t *testing.T) {
-	ways(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
+func TestRepeatedKeyWaitsForRun(t *testing.T) {
+	testOwners(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
 		var wg sync.WaitGroup
 		for _, k := range []*Keys{a, b, a, b} {
 			wg.Go(func() {
@@ -152,8 +152,8 @@
 	})
 }
 
-func TestKeyOfADifferentRequestIsRefused(t *testing.T) {
-	ways(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
+func TestKeyOfDifferentRequestIsRejected(t *testing.T) {
+	testOwners(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
 		if _, err := f.do(a, key, "x", outcome.Answered); err != nil {
 			t.Fatal(err)
 		}
@@ -164,8 +164,8 @@
 	})
 }
 
-func TestNotRunFreesTheKeyAndUnknownDoesNot(t *testing.T) {
-	ways(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
+func TestNotRunReleasesKeyAndUnknownDoesNot(t *testing.T) {
+	testOwners(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
 		for _, k := range []*Keys{a, b, a} {
 			if _, err := f.do(k, key, "x", outcome.NotRun); err != nil {
 				t.Fatal(err)
@@ -207,7 +207,7 @@
 }
 
 func TestDeadOwnerNeverMeansASecondRun(t *testing.T) {
-	ways(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
+	testOwners(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
 		if _, err := f.do(a, key, "x", outcome.Answered); err != nil {
 			t.Fatal(err)
 		}
@@ -219,7 +219,7 @@
 		if _, ticket := ParseKey(key); ticket {
 			wantOutcome(t, err, outcome.Unknown)
 		} else if got != "answer to x" {
-			t.Errorf("the platform's claim outlives its owner, got %q, %v", got, err)
+			t.Errorf("after the restart of the holder: got %q, %v, want the stored response", got, err)
 		}
 		if f.runs[key] != 1 {
 			t.Errorf("%d runs", f.runs[key])
@@ -228,7 +228,7 @@
 }
 
 func TestOwnerThatDiesWhileRunningLeavesUnknown(t *testing.T) {
-	ways(t, func(t *testing.T, f *fleet, a, _ *Keys, key string) {
+	testOwners(t, func(t *testing.T, f *fleet, a, _ *Keys, key string) {
 		go f.do(a, key, "x", outcome.Answered)
 		synctest.Wait()
 		f.start("a")
@@ -249,7 +249,7 @@
 }
 
 func TestPausedOwnerIsNotOvertaken(t *testing.T) {
-	ways(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
+	testOwners(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
 		go f.do(a, key, "x", outcome.Answered)
 		time.Sleep(5 * time.Millisecond)
 		f.hub.Pause("a")
@@ -266,7 +266,8 @@
 	})
 }
 
-// Each fault of the platform at each write of a claim.
+// Guards against a second run, and against a key that is blocked forever, after a store
+// fault at any write of a claim.
 func TestPlatformFaultsAtEveryWriteOfAClaim(t *testing.T) {
 	faults := map[string]platformtest.Fault{
 		"unavailable": platformtest.FaultUnavailable, "lost request": platformtest.FaultLostRequest,
@@ -276,14 +277,14 @@
 		for _, write := range []platform.Op{platform.OpCreate, platform.OpUpdate} {
 			for _, first := range []outcome.Outcome{outcome.Answered, outcome.NotRun, outcome.Unknown} {
 				t.Run(fmt.Sprintf("%s of %v, first %s", name, write, first), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { faultyClaim(t, fault, write, first) })
+					synctest.Test(t, func(t *testing.T) { testFaultyClaim(t, fault, write, first) })
 				})
 			}
 		}
 	}
 }
 
-func faultyClaim(t *testing.T, fault platformtest.Fault, write platform.Op, first outcome.Outcome) {
+func testFaultyClaim(t *testing.T, fault platformtest.Fault, write platform.Op, first outcome.Outcome) {
 	f := newFleet(t)
 	a, b := f.start("a"), f.start("b")
 	left := 3
@@ -311,14 +312,15 @@
 		t.Errorf("%d runs", f.runs[key(nil)])
 	}
 	if first != outcome.Unknown && !answered {
-		t.Error("the key was never answered though the platform works again")
+		t.Error("the key was never answered after the store recovered")
 	}
 }
 
-// Random faults of platform, network and processes at once.
+// Guards against a second run under concurrent random faults of the store, the network and
+// the processes.
 func TestAtMostOnceUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(40) {
-		ways(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
+		testOwners(t, func(t *testing.T, f *fleet, a, b *Keys, key string) {
 			random := rand.New(rand.NewPCG(seed, seed))
 			var mu sync.Mutex
 			roll := func(n int) int {
@@ -356,7 +358,7 @@
 	}
 }
 
-func TestTicketsOfOthersComeWithinTheirLookups(t *testing.T) {
+func TestTicketIsFetchedInBackground(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		a, b := f.start("a"), f.start("b")
@@ -370,7 +372,7 @@
 		})
 		f.hub.Cut("a", "b")
 		if got := a.Ticket(b1.VM, b1.Incarnation); got != "" {
-			t.Errorf("a ticket of a VM that could not be asked: %q", got)
+			t.Errorf("got ticket %q of an unreachable VM, want none", got)
 		}
 		time.Sleep(5 * time.Second)
 		f.hub.Heal()
@@ -383,13 +385,13 @@
 		f.start("b")
 		a.renewAll()
 		if got := a.Ticket(b1.VM, b1.Incarnation); got != "" {
-			t.Errorf("a ticket of an instance that is gone: %q", got)
+			t.Errorf("got ticket %q of an instance that is gone, want none", got)
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-func TestTicketsOfMembersAreFetchedAhead(t *testing.T) {
+func TestTicketsOfMembersArePrefetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		a, b, c := f.start("a"), f.start("b"), f.start("c")
@@ -413,7 +415,7 @@
 		}
 		a.Follow(view(a, c))
 		if n := len(a.tickets); n != 1 {
-			t.Errorf("%d tickets are kept, want that of the one member", n)
+			t.Errorf("%d tickets are kept, want 1", n)
 		}
 		time.Sleep(time.Minute)
 	})
--- a/internal/idempotency/ledger.go
+++ b/internal/idempotency/ledger.go
@@ -7,8 +7,8 @@
 	"masticturn/internal/outcome"
 )
 
-// recordOverhead is what one record costs besides its answer, in bytes: key,
-// map entry, list element.
+// recordOverhead is the approximate size of a record without its response, in bytes:
+// key, map entry and list element.
 const recordOverhead = 512
 
 // State is the state of a key in a ledger.
@@ -16,66 +16,66 @@
 
 // The states of a key.
 const (
-	StateFree     State = iota // it was never run, or surely not
-	StateRunning               // a run holds it
-	StateAnswered              // it was run and answered
-	StateLost                  // it was run and nobody knows how it ended
+	StateFree     State = iota // not run
+	StateRunning               // held by a run
+	StateAnswered              // run and answered
+	StateUnknown               // run with an unknown outcome
 )
 
-// Verdict is the answer of a ledger to a claim.
+// Verdict is the result of claiming a key or of querying a run.
 type Verdict uint8
 
-// The verdicts on a claim.
+// The verdicts.
 const (
-	VerdictRun      Verdict = iota + 1 // the key is the claimer's to run
-	VerdictBusy                        // another run holds it; ask again when it ended
-	VerdictReplay                      // the recorded answer is given
-	VerdictDropped                     // it was answered, and the answer is no longer kept
-	VerdictLost                        // it was run and nobody knows how it ended
-	VerdictMismatch                    // the key was used for another request
-	VerdictExpired                     // the ticket is too old to know whether the key was run
-	VerdictInvalid                     // the ticket was never issued
-	VerdictFull                        // there is no room; the key was not run
-	VerdictGone                        // the instance that owned the key is no more
+	VerdictRun             Verdict = iota + 1 // the claim is granted; for a query: the run did not and will not happen
+	VerdictBusy                               // another run holds the key
+	VerdictReplay                             // the recorded response is returned
+	VerdictResponseDropped                    // run and answered, but the response is no longer kept
+	VerdictUnknown                            // run with an unknown outcome
+	VerdictMismatch                           // the key was used for a different request
+	VerdictExpired                            // the ticket is too old to know whether the key was run
+	VerdictInvalid                            // the ticket was never issued
+	VerdictFull                               // no memory for another key; it was not run
+	VerdictOwnerGone                          // the instance that owned the key no longer exists
 )
 
-// Bounds bounds what a ledger keeps.
-type Bounds struct {
-	Bytes  int64         // all records with their answers
-	Keep   time.Duration // from a run's end, at least this long
-	Ticket time.Duration // life of a ticket; no record is dropped before its ticket expired
+// LedgerLimits bounds the size of a ledger and sets the retention of its records.
+type LedgerLimits struct {
+	MaxBytes       int64         // size of all records with their responses
+	Retention      time.Duration // minimum retention after the end of a run
+	TicketLifetime time.Duration // lifetime of a ticket; records are kept at least until their ticket expires
 }
 
-// ledger holds the keys owned by this process instance. It is not safe for
-// concurrent use and does no I/O. Times are durations since the process
-// started, by the monotonic clock.
+// ledger records the keys that this process instance owns or runs. It is not safe for
+// concurrent use and does no I/O. Times are durations since the process started, by the
+// monotonic clock.
 type ledger struct {
-	records map[string]*entry
-	order   *list.List // of *entry, oldest first
-	answers *list.List // of *entry with an answer, oldest first
-	bytes   int64
+	records      map[string]*entry
+	byAge        *list.List // of *entry, oldest first
+	withResponse *list.List // of *entry with a response, oldest first
+	bytes        int64
 }
 
-// entry is one key.
+// entry is the record of one key.
 type entry struct {
 	key         string
 	token       string // of the run that holds it
 	fingerprint Fingerprint
 	state       State
-	answer      *Answer
+	response    *Answer
 	keepUntil   time.Duration
 	done        chan struct{} // closed when the run ends
 
-	inOrder, inAnswers *list.Element
+	ageElement, responseElement *list.Element
 }
 
 func newLedger() *ledger {
-	return &ledger{records: make(map[string]*entry), order: list.New(), answers: list.New()}
+	return &ledger{records: make(map[string]*entry), byAge: list.New(), withResponse: list.New()}
 }
 
-// claim claims a key for a run. The same token claiming again gets the same
-// verdict, so that a claim whose answer was lost may be sent again.
-func (l *ledger) claim(now time.Duration, key, token string, fp Fingerprint, issued time.Duration, b Bounds) (Verdict, *entry) {
+// claim claims a key for a run. It is idempotent per token, so that a claim whose
+// response was lost can be sent again.
+func (l *ledger) claim(now time.Duration, key, token string, fp Fingerprint, issued time.Duration, limits LedgerLimits) (Verdict, *entry) {
 	l.expire(now)
 	if e := l.records[key]; e != nil {
 		return e.verdict(token, fp), e
@@ -83,10 +83,10 @@
 	switch {
 	case issued > now || issued < 0:
 		return VerdictInvalid, nil
-	case now-issued > b.Ticket:
+	case now-issued > limits.TicketLifetime:
 		return VerdictExpired, nil
 	}
-	e := l.add(now, key, token, fp, issued+b.Ticket, b)
+	e := l.add(now, key, token, fp, issued+limits.TicketLifetime, limits)
 	if e == nil {
 		return VerdictFull, nil
 	}
@@ -101,92 +101,92 @@
 		return VerdictRun
 	case e.state == StateRunning:
 		return VerdictBusy
-	case e.state == StateLost:
-		return VerdictLost
-	case e.answer == nil:
-		return VerdictDropped
+	case e.state == StateUnknown:
+		return VerdictUnknown
+	case e.response == nil:
+		return VerdictResponseDropped
 	}
 	return VerdictReplay
 }
 
-// add notes a running key; nil when there is no room.
-func (l *ledger) add(now time.Duration, key, token string, fp Fingerprint, keepUntil time.Duration, b Bounds) *entry {
+// add records a running key. It returns nil if there is no memory for it.
+func (l *ledger) add(now time.Duration, key, token string, fp Fingerprint, keepUntil time.Duration, limits LedgerLimits) *entry {
 	if old := l.records[key]; old != nil {
 		l.remove(old)
 	}
-	l.makeRoom(recordOverhead, b.Bytes)
-	if l.bytes+recordOverhead > b.Bytes {
+	l.evictResponses(recordOverhead, limits.MaxBytes)
+	if l.bytes+recordOverhead > limits.MaxBytes {
 		return nil
 	}
 	e := &entry{
 		key: key, token: token, fingerprint: fp, state: StateRunning,
-		keepUntil: max(keepUntil, now+b.Keep), done: make(chan struct{}),
+		keepUntil: max(keepUntil, now+limits.Retention), done: make(chan struct{}),
 	}
-	e.inOrder = l.order.PushBack(e)
+	e.ageElement = l.byAge.PushBack(e)
 	l.records[key] = e
 	l.bytes += recordOverhead
 	return e
 }
 
-// finish ends a run. A token that no longer holds the key changes nothing.
-func (l *ledger) finish(now time.Duration, key, token string, o outcome.Outcome, a *Answer, b Bounds) {
+// finish records the outcome of a run. It ignores tokens that do not hold the key.
+func (l *ledger) finish(now time.Duration, key, token string, o outcome.Outcome, a *Answer, limits LedgerLimits) {
 	e := l.records[key]
 	if e == nil || e.token != token || e.state != StateRunning {
 		return
 	}
 	close(e.done)
-	e.keepUntil = max(e.keepUntil, now+b.Keep)
+	e.keepUntil = max(e.keepUntil, now+limits.Retention)
 	switch o {
 	case outcome.NotRun:
 		l.remove(e)
 	case outcome.Answered:
 		e.state = StateAnswered
-		l.keep(e, a, b)
+		l.storeResponse(e, a, limits)
 	default:
-		e.state = StateLost
+		e.state = StateUnknown
 	}
 }
 
-// keep stores an answer, at the cost of the oldest ones.
-func (l *ledger) keep(e *entry, a *Answer, b Bounds) {
+// storeResponse stores a response and evicts the oldest ones if needed.
+func (l *ledger) storeResponse(e *entry, a *Answer, limits LedgerLimits) {
 	if a == nil {
 		return
 	}
-	l.makeRoom(a.Size(), b.Bytes)
-	if l.bytes+a.Size() > b.Bytes {
+	l.evictResponses(a.Size(), limits.MaxBytes)
+	if l.bytes+a.Size() > limits.MaxBytes {
 		return
 	}
-	e.answer = a
-	e.inAnswers = l.answers.PushBack(e)
+	e.response = a
+	e.responseElement = l.withResponse.PushBack(e)
 	l.bytes += a.Size()
 }
 
-// makeRoom drops the oldest answers until size more bytes fit. The records
-// stay: a key whose answer was dropped is still never run again.
-func (l *ledger) makeRoom(size, limit int64) {
-	for l.bytes+size > limit && l.answers.Len() > 0 {
-		l.dropAnswer(l.answers.Front().Value.(*entry))
+// evictResponses evicts the oldest responses until size more bytes fit. It keeps the records,
+// so that their keys are not run again.
+func (l *ledger) evictResponses(size, limit int64) {
+	for l.bytes+size > limit && l.withResponse.Len() > 0 {
+		l.dropResponse(l.withResponse.Front().Value.(*entry))
 	}
 }
 
-func (l *ledger) dropAnswer(e *entry) {
-	l.bytes -= e.answer.Size()
-	l.answers.Remove(e.inAnswers)
-	e.answer, e.inAnswers = nil, nil
+func (l *ledger) dropResponse(e *entry) {
+	l.bytes -= e.response.Size()
+	l.withResponse.Remove(e.responseElement)
+	e.response, e.responseElement = nil, nil
 }
 
 func (l *ledger) remove(e *entry) {
-	if e.answer != nil {
-		l.dropAnswer(e)
+	if e.response != nil {
+		l.dropResponse(e)
 	}
-	l.order.Remove(e.inOrder)
+	l.byAge.Remove(e.ageElement)
 	delete(l.records, e.key)
 	l.bytes -= recordOverhead
 }
 
-// expire forgets records that are past their time, oldest first.
+// expire removes expired records, oldest first.
 func (l *ledger) expire(now time.Duration) {
-	for front := l.order.Front(); front != nil; front = l.order.Front() {
+	for front := l.byAge.Front(); front != nil; front = l.byAge.Front() {
 		e := front.Value.(*entry)
 		if now <= e.keepUntil {
 			return
--- a/internal/idempotency/ledger_test.go
+++ b/internal/idempotency/ledger_test.go
@@ -14,10 +14,10 @@
 
 const propertySeed = 20260102
 
-var testBounds = Bounds{Bytes: 4 * recordOverhead, Keep: time.Minute, Ticket: 10 * time.Minute}
+var testLimits = LedgerLimits{MaxBytes: 4 * recordOverhead, Retention: time.Minute, TicketLifetime: 10 * time.Minute}
 
-// However small the bounds and however late a repeat comes: a key is granted
-// again only after a run that ended not run, and the bytes stay bounded.
+// Guards against granting a key twice when its record was evicted or expired, and against
+// exceeding the memory limit. A key may be granted again only after the outcome NotRun.
 func TestLedgerGrantsAKeyOnce(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(propertySeed)
 	p.MinSuccessfulTests = 300
@@ -37,7 +37,7 @@
 				switch action / 7 % 4 {
 				case 0, 1:
 					token := fmt.Sprint(i)
-					if v, _ := l.claim(now, key, token, 1, issued[key], testBounds); v == VerdictRun {
+					if v, _ := l.claim(now, key, token, 1, issued[key], testLimits); v == VerdictRun {
 						if used[key] {
 							return false
 						}
@@ -49,11 +49,11 @@
 					if before != nil && before.state == StateRunning && o == outcome.NotRun {
 						used[key] = false
 					}
-					l.finish(now, key, held[key], o, &Answer{Body: make([]byte, 900)}, testBounds)
+					l.finish(now, key, held[key], o, &Answer{Body: make([]byte, 900)}, testLimits)
 				case 3:
 					now += time.Duration(action) * time.Second
 				}
-				if l.bytes > testBounds.Bytes || l.bytes < 0 {
+				if l.bytes > testLimits.MaxBytes || l.bytes < 0 {
 					return false
 				}
 			}
@@ -64,14 +64,14 @@
 	properties.TestingRun(t)
 }
 
-func TestLedgerBounds(t *testing.T) {
+func TestLedgerLimits(t *testing.T) {
 	l := newLedger()
 	for i := range 4 {
 		key := fmt.Sprint(i)
-		if v, _ := l.claim(0, key, "t", 1, 0, testBounds); v != VerdictRun {
+		if v, _ := l.claim(0, key, "t", 1, 0, testLimits); v != VerdictRun {
 			t.Fatalf("key %d: verdict %d", i, v)
 		}
-		l.finish(0, key, "t", outcome.Answered, &Answer{Body: make([]byte, 100)}, testBounds)
+		l.finish(0, key, "t", outcome.Answered, &Answer{Body: make([]byte, 100)}, testLimits)
 	}
 	tests := []struct {
 		name, key string
@@ -79,15 +79,15 @@
 		issued    time.Duration
 		want      Verdict
 	}{
-		{"answer dropped, record kept", "0", 0, 0, VerdictDropped},
-		{"no room for another key", "new", 0, 0, VerdictFull},
-		{"kept while the ticket lives", "0", testBounds.Ticket, 0, VerdictDropped},
-		{"forgotten with its ticket", "0", testBounds.Ticket + 1, 0, VerdictExpired},
-		{"room again", "new", testBounds.Ticket + 1, testBounds.Ticket, VerdictRun},
-		{"ticket of the future", "new2", testBounds.Ticket + 1, testBounds.Ticket + 2, VerdictInvalid},
+		{"response evicted, record kept", "0", 0, 0, VerdictResponseDropped},
+		{"no memory for another key", "new", 0, 0, VerdictFull},
+		{"record kept until the ticket expires", "0", testLimits.TicketLifetime, 0, VerdictResponseDropped},
+		{"record expired with the ticket", "0", testLimits.TicketLifetime + 1, 0, VerdictExpired},
+		{"memory for another key again", "new", testLimits.TicketLifetime + 1, testLimits.TicketLifetime, VerdictRun},
+		{"ticket issued in the future", "new2", testLimits.TicketLifetime + 1, testLimits.TicketLifetime + 2, VerdictInvalid},
 	}
 	for _, tt := range tests {
-		if v, _ := l.claim(tt.now, tt.key, "t2", 1, tt.issued, testBounds); v != tt.want {
+		if v, _ := l.claim(tt.now, tt.key, "t2", 1, tt.issued, testLimits); v != tt.want {
 			t.Errorf("%s: verdict %d, want %d", tt.name, v, tt.want)
 		}
 	}
@@ -115,21 +115,21 @@
 	}
 }
 
-// An answer that is too large for a message is not sent, and never breaks the
-// connection between two VMs.
-func TestLargeAnswersStayAtTheirInstance(t *testing.T) {
-	large := &Answer{Body: make([]byte, carriedBytes+1)}
-	small := &Answer{Body: make([]byte, carriedBytes)}
-	if got := reply(VerdictReplay, large); got.Verdict != VerdictDropped || got.Answer != nil {
-		t.Errorf("large: got verdict %d, answer %v", got.Verdict, got.Answer != nil)
+// Guards against sending a response that exceeds the frame limit of the peer network, which
+// would break the connection between two VMs.
+func TestLargeResponsesAreNotSent(t *testing.T) {
+	large := &Answer{Body: make([]byte, maxPeerResponseBytes+1)}
+	small := &Answer{Body: make([]byte, maxPeerResponseBytes)}
+	if got := newOwnerResponse(VerdictReplay, large); got.Verdict != VerdictResponseDropped || got.Response != nil {
+		t.Errorf("large response: got verdict %d, response present: %v", got.Verdict, got.Response != nil)
 	}
-	if got := reply(VerdictReplay, small); got.Verdict != VerdictReplay || got.Answer != small {
-		t.Errorf("small: got verdict %d", got.Verdict)
+	if got := newOwnerResponse(VerdictReplay, small); got.Verdict != VerdictReplay || got.Response != small {
+		t.Errorf("small response: got verdict %d", got.Verdict)
 	}
-	if got := reply(VerdictMismatch, small); got.Answer != nil {
-		t.Error("an answer went out with a verdict that needs none")
+	if got := newOwnerResponse(VerdictMismatch, small); got.Response != nil {
+		t.Error("the response is sent with a verdict other than replay")
 	}
-	if carried(large) != nil || carried(small) != small {
-		t.Error("the wrong answers are carried")
+	if peerResponse(large) != nil || peerResponse(small) != small {
+		t.Error("want only the small response to be sent")
 	}
 }
--- a/internal/idempotency/messages.go
+++ b/internal/idempotency/messages.go
@@ -6,54 +6,56 @@
 	"masticturn/internal/outcome"
 )
 
-// op is what is asked of the instance that owns a key.
+// op is the operation of an ownerRequest.
 type op uint8
 
 const (
-	opTicket op = iota + 1 // a fresh ticket
-	opClaim                // claim a key that begins with the owner's ticket
-	opFinish               // tell the end of a run claimed by opClaim
-	opAsk                  // what became of the owner's own run of a claim in the platform
+	opTicket op = iota + 1 // issue a ticket
+	opClaim                // claim a key that begins with the receiver's ticket
+	opFinish               // report the outcome of a run claimed by opClaim
+	opQuery                // return the state of the receiver's run that holds a claim object
 )
 
 // ownerRequest is the request of peer.KindKeyOwner.
 type ownerRequest struct {
 	Op          op              `msgpack:"o"`
-	Incarnation uint64          `msgpack:"i"` // of the owner that is meant
+	Incarnation uint64          `msgpack:"i"` // of the intended receiver
 	Key         string          `msgpack:"k,omitempty"`
 	Token       string          `msgpack:"t,omitempty"`
 	Fingerprint Fingerprint     `msgpack:"f,omitempty"`
 	Issued      time.Duration   `msgpack:"s,omitempty"`
 	Outcome     outcome.Outcome `msgpack:"u,omitempty"`
-	Answer      *Answer         `msgpack:"a,omitempty"`
+	Response    *Answer         `msgpack:"a,omitempty"`
 }
 
-// ownerAnswer is its answer.
-type ownerAnswer struct {
-	Verdict Verdict `msgpack:"v"`
-	Answer  *Answer `msgpack:"a,omitempty"`
-	Ticket  string  `msgpack:"t,omitempty"`
+// ownerResponse is the response to ownerRequest.
+type ownerResponse struct {
+	Verdict  Verdict `msgpack:"v"`
+	Response *Answer `msgpack:"a,omitempty"`
+	Ticket   string  `msgpack:"t,omitempty"`
 }
 
-// carriedBytes is the largest answer that goes from instance to instance. A
-// frame of the peer network takes more.
-const carriedBytes = 512 << 10
+// maxPeerResponseBytes is the maximum size of a response sent between instances, in bytes. It is
+// below the frame limit of the peer network.
+const maxPeerResponseBytes = 512 << 10
 
-// carried returns the answer if it can go to another instance, else nil.
-func carried(a *Answer) *Answer {
-	if a == nil || a.Size() > carriedBytes {
+// peerResponse returns the response if it is small enough to be sent to another instance,
+// else nil.
+func peerResponse(a *Answer) *Answer {
+	if a == nil || a.Size() > maxPeerResponseBytes {
 		return nil
 	}
 	return a
 }
 
-// reply makes the answer to another instance.
-func reply(v Verdict, a *Answer) *ownerAnswer {
+// newOwnerResponse returns the message for a verdict. A response that is too large to send is
+// reported as dropped.
+func newOwnerResponse(v Verdict, a *Answer) *ownerResponse {
 	if v != VerdictReplay {
-		return &ownerAnswer{Verdict: v}
+		return &ownerResponse{Verdict: v}
 	}
-	if carried(a) == nil {
-		return &ownerAnswer{Verdict: VerdictDropped}
+	if peerResponse(a) == nil {
+		return &ownerResponse{Verdict: VerdictResponseDropped}
 	}
-	return &ownerAnswer{Verdict: v, Answer: a}
+	return &ownerResponse{Verdict: v, Response: a}
 }
--- a/internal/idempotency/registry.go
+++ b/internal/idempotency/registry.go
@@ -1,5 +1,5 @@
-// Package idempotency runs a keyed request at most once, over all VMs, and
-// gives its recorded answer to whoever repeats the key.
+// Package idempotency runs a request with an idempotency key at most once across all VMs
+// and replays its recorded response to repeated requests.
 package idempotency
 
 import (
@@ -12,11 +12,11 @@
 	"masticturn/internal/outcome"
 )
 
-// Fingerprint tells requests under one key apart.
+// Fingerprint distinguishes different requests with the same key.
 type Fingerprint uint64
 
-// FingerprintOf hashes what makes a request: method, path with query, and the
-// body when it is known; a nil body means that it is streamed.
+// FingerprintOf hashes the method, the path with query and the body of a request. The
+// body is nil if it is streamed.
 func FingerprintOf(method, uri string, body []byte) Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
@@ -28,22 +28,22 @@
 	return Fingerprint(d.Sum64())
 }
 
-// Request is a keyed request that is about to be dispatched.
+// Request is a request with an idempotency key that is about to be dispatched.
 type Request struct {
-	Service     string // keys of different services are different
+	Service     string // namespace of the key
 	Key         string // as the caller sent it
 	Fingerprint Fingerprint
-	Deadline    time.Time // when the caller gives up
+	Deadline    time.Time // of the caller
 }
 
-// Answer is a whole answer of a target, as kept under a key.
+// Answer is a complete response of a target, recorded for replay.
 type Answer struct {
 	Status int         `msgpack:"s" json:"status"`
 	Header http.Header `msgpack:"h" json:"header"`
 	Body   []byte      `msgpack:"b" json:"body"`
 }
 
-// Size is the number of bytes that are counted for keeping the answer.
+// Size returns the size of the response in bytes, as counted against LedgerLimits.MaxBytes.
 func (a *Answer) Size() int64 {
 	n := len(a.Body)
 	for name, values := range a.Header {
@@ -55,20 +55,19 @@
 	return int64(n)
 }
 
-// Claim is the result of claiming a key. When Replay returns an answer the
-// request must not be run; otherwise it is this VM's to run, once, and Finish
-// must be called exactly once.
+// Claim is the result of claiming a key. If Replay returns a response, the request must
+// not be run. Otherwise this VM may run it once and must call Finish exactly once.
 type Claim interface {
-	// Replay returns the recorded answer of an earlier run, or nil.
+	// Replay returns the recorded response of an earlier run, or nil.
 	Replay() *Answer
-	// Finish tells what became of the run. The answer is kept when it is not
-	// nil; NotRun gives the key free, and the request surely does not run later.
+	// Finish records the outcome of the run and, if not nil, its response. NotRun
+	// releases the key; the request must not run afterwards.
 	Finish(o outcome.Outcome, a *Answer)
 }
 
-// Registry claims keys. The error is an *outcome.Error at StepClaim: NotRun
-// when the key surely was not run by this call, Unknown when an earlier run of
-// the key had no known end.
+// Registry claims keys. Errors are of type *outcome.Error at StepClaim, with the outcome
+// NotRun if the key was certainly not run by this call, or Unknown if an earlier run of
+// the key has no known outcome.
 type Registry interface {
 	Claim(ctx context.Context, r *Request) (Claim, error)
 }
--- a/internal/idempotency/remote.go
+++ b/internal/idempotency/remote.go
@@ -9,63 +9,63 @@
 	"masticturn/internal/wait"
 )
 
-// The asking of another instance.
+// Limits of calls to other instances.
 const (
-	callTimeout = time.Second
-	callTries   = 3
+	callTimeout     = time.Second
+	maxCallAttempts = 3
 )
 
-// call asks the owner. A claim may be sent again, as the same token gets the
-// same verdict.
-func (k *Keys) call(ctx context.Context, vm string, req *ownerRequest) (ownerAnswer, error) {
-	var answer ownerAnswer
+// call sends a request to an instance, with retries. Claims can be retried because they
+// are idempotent per token.
+func (k *Keys) call(ctx context.Context, vm string, req *ownerRequest) (ownerResponse, error) {
+	var response ownerResponse
 	var err error
-	for range callTries {
-		answer, err = k.callOnce(ctx, vm, req)
-		if err == nil || !wait.For(ctx, claimPause) {
+	for range maxCallAttempts {
+		response, err = k.callOnce(ctx, vm, req)
+		if err == nil || !wait.For(ctx, claimRetryDelay) {
 			break
 		}
 	}
-	return answer, err
+	return response, err
 }
 
-func (k *Keys) callOnce(ctx context.Context, vm string, req *ownerRequest) (ownerAnswer, error) {
+func (k *Keys) callOnce(ctx context.Context, vm string, req *ownerRequest) (ownerResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var answer ownerAnswer
-	err := k.deps.Network.Call(ctx, vm, peer.KindKeyOwner, req, &answer)
-	return answer, err
+	var response ownerResponse
+	err := k.deps.Network.Call(ctx, vm, peer.KindKeyOwner, req, &response)
+	return response, err
 }
 
 // claimRemote claims a key that another instance owns.
 func (k *Keys) claimRemote(ctx context.Context, r *Request, t Ticket) (Claim, error) {
 	req := &ownerRequest{
-		Op: opClaim, Incarnation: t.Incarnation, Key: keyName(r), Token: newToken(),
+		Op: opClaim, Incarnation: t.Incarnation, Key: qualifiedKey(r), Token: newToken(),
 		Fingerprint: r.Fingerprint, Issued: t.Issued,
 	}
 	run := &remoteRun{k: k, owner: t.Instance, key: req.Key, token: req.Token}
 	for {
-		answer, err := k.call(ctx, t.VM, req)
+		response, err := k.call(ctx, t.VM, req)
 		if err != nil {
-			run.Finish(outcome.NotRun, nil) // the claim may have arrived
-			return nil, refusal(0, t.VM, err)
+			run.Finish(outcome.NotRun, nil) // releases the claim if it was received
+			return nil, claimError(0, t.VM, err)
 		}
-		switch answer.Verdict {
+		switch response.Verdict {
 		case VerdictRun:
 			return run, nil
 		case VerdictReplay:
-			return replayed{answer.Answer}, nil
+			return replayedClaim{response.Response}, nil
 		case VerdictBusy:
-			if !wait.For(ctx, claimPause) {
-				return nil, refusal(VerdictBusy, t.VM, context.Cause(ctx))
+			if !wait.For(ctx, claimRetryDelay) {
+				return nil, claimError(VerdictBusy, t.VM, context.Cause(ctx))
 			}
 		default:
-			return nil, refusal(answer.Verdict, t.VM, nil)
+			return nil, claimError(response.Verdict, t.VM, nil)
 		}
 	}
 }
 
-// remoteRun is a run under a key of another instance.
+// remoteRun is a run with a key that another instance owns.
 type remoteRun struct {
 	k          *Keys
 	owner      Instance
@@ -75,54 +75,54 @@
 // Replay implements Claim.
 func (*remoteRun) Replay() *Answer { return nil }
 
-// Finish implements Claim. When the owner can't be told, the key stays taken.
+// Finish implements Claim. If the owner is unreachable, the key remains claimed.
 func (r *remoteRun) Finish(o outcome.Outcome, a *Answer) {
 	r.k.inBackground(func(ctx context.Context) {
 		_, _ = r.k.call(ctx, r.owner.VM, &ownerRequest{
-			Op: opFinish, Incarnation: r.owner.Incarnation, Key: r.key, Token: r.token, Outcome: o, Answer: carried(a),
+			Op: opFinish, Incarnation: r.owner.Incarnation, Key: r.key, Token: r.token, Outcome: o, Response: peerResponse(a),
 		})
 	})
 }
 
-// serveOwner answers other instances.
-func (k *Keys) serveOwner(_ context.Context, _ string, payload []byte) (any, error) {
+// handleOwnerRequest handles requests from other instances.
+func (k *Keys) handleOwnerRequest(_ context.Context, _ string, payload []byte) (any, error) {
 	var req ownerRequest
 	if err := peer.Decode(payload, &req); err != nil {
 		return nil, err
 	}
 	if req.Incarnation != k.deps.Self.Incarnation {
-		return &ownerAnswer{Verdict: VerdictGone}, nil
+		return &ownerResponse{Verdict: VerdictOwnerGone}, nil
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch req.Op {
 	case opTicket:
-		return &ownerAnswer{Ticket: k.issue().String()}, nil
+		return &ownerResponse{Ticket: k.issueTicket().String()}, nil
 	case opFinish:
-		k.ledger.finish(k.now(), req.Key, req.Token, req.Outcome, req.Answer, k.bounds())
-		return &ownerAnswer{}, nil
-	case opAsk:
-		return k.ask(&req), nil
+		k.ledger.finish(k.now(), req.Key, req.Token, req.Outcome, req.Response, k.limits())
+		return &ownerResponse{}, nil
+	case opQuery:
+		return k.queryRun(&req), nil
 	}
-	v, e := k.ledger.claim(k.now(), req.Key, req.Token, req.Fingerprint, req.Issued, k.bounds())
+	v, e := k.ledger.claim(k.now(), req.Key, req.Token, req.Fingerprint, req.Issued, k.limits())
 	if e == nil {
-		return reply(v, nil), nil
+		return newOwnerResponse(v, nil), nil
 	}
-	return reply(v, e.answer), nil
+	return newOwnerResponse(v, e.response), nil
 }
 
-// ask tells what became of a run of this instance that is claimed in the
-// platform. VerdictRun says that it surely was not run and never will be.
-func (k *Keys) ask(req *ownerRequest) *ownerAnswer {
+// queryRun returns the state of a run of this instance whose claim is in the platform store;
+// k.mu is held. VerdictRun means that the run did not and will not happen.
+func (k *Keys) queryRun(req *ownerRequest) *ownerResponse {
 	if _, ok := k.pending[req.Token]; ok {
-		return &ownerAnswer{Verdict: VerdictBusy}
+		return &ownerResponse{Verdict: VerdictBusy}
 	}
 	if k.abandoned.has(req.Token) {
-		return &ownerAnswer{Verdict: VerdictRun}
+		return &ownerResponse{Verdict: VerdictRun}
 	}
 	e := k.ledger.records[req.Key]
 	if e == nil || e.token != req.Token {
-		return &ownerAnswer{Verdict: VerdictLost}
+		return &ownerResponse{Verdict: VerdictUnknown}
 	}
-	return reply(e.verdict("", req.Fingerprint), e.answer)
+	return newOwnerResponse(e.verdict("", req.Fingerprint), e.response)
 }
--- a/internal/idempotency/stored.go
+++ b/internal/idempotency/stored.go
@@ -13,20 +13,21 @@
 	"masticturn/internal/wait"
 )
 
-// storedAnswerBytes is the largest answer that is kept in the claim itself, so
-// that it outlives this process. JSON makes a body a third longer.
-const storedAnswerBytes = 64 << 10
+// maxStoredResponseBytes is the maximum size of a response stored in the claim object, in
+// bytes, so that it survives this process. JSON encoding makes bodies a third larger.
+const maxStoredResponseBytes = 64 << 10
 
-// objectName is the name of a key's claim: keys are of any length and form.
+// objectName returns the name of a key's claim object. It is a hash because keys may be
+// of any length and contain any characters.
 func objectName(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// claimStored claims a key in the platform.
+// claimStored claims a key in the platform store.
 func (k *Keys) claimStored(ctx context.Context, r *Request) (Claim, error) {
-	key := keyName(r)
-	if claim, err := k.claimKnown(ctx, key, r.Fingerprint); claim != nil || err != nil {
+	key := qualifiedKey(r)
+	if claim, err := k.claimFromMemory(ctx, key, r.Fingerprint); claim != nil || err != nil {
 		return claim, err
 	}
 	c := newClaimant(claimObject{
@@ -35,21 +36,21 @@
 	})
 	k.setPending(c.own.Token)
 	for c.step != ClaimDone && ctx.Err() == nil {
-		c.next(k.perform(ctx, key, c))
+		c.next(k.performStep(ctx, key, c))
 	}
 	if c.step != ClaimDone {
 		v := Verdict(0)
-		if c.after == ClaimAsk {
+		if c.afterPause == ClaimQuery {
 			v = VerdictBusy
 		}
-		c.done(v, nil)
+		c.finish(v, nil)
 	}
-	return k.settle(ctx, key, c)
+	return k.completeClaim(ctx, key, c)
 }
 
-// claimKnown claims a key whose run by this instance is remembered, with no
-// call to the platform; nil when it is not.
-func (k *Keys) claimKnown(ctx context.Context, key string, fp Fingerprint) (Claim, error) {
+// claimFromMemory claims a key that this instance has run, without a call to the platform
+// store. It returns nil if the key is not in memory.
+func (k *Keys) claimFromMemory(ctx context.Context, key string, fp Fingerprint) (Claim, error) {
 	for {
 		k.mu.Lock()
 		k.ledger.expire(k.now())
@@ -58,39 +59,39 @@
 			k.mu.Unlock()
 			return nil, nil
 		}
-		v, answer, done := e.verdict("", fp), e.answer, e.done
+		v, response, done := e.verdict("", fp), e.response, e.done
 		k.mu.Unlock()
 		switch v {
 		case VerdictReplay:
-			return replayed{answer}, nil
-		case VerdictDropped:
-			return nil, nil // the claim may hold it
+			return replayedClaim{response}, nil
+		case VerdictResponseDropped:
+			return nil, nil // the claim object may contain the response
 		case VerdictBusy:
-			if !ended(ctx, done) {
-				return nil, refusal(VerdictBusy, "", context.Cause(ctx))
+			if !waitDone(ctx, done) {
+				return nil, claimError(VerdictBusy, "", context.Cause(ctx))
 			}
 		default:
-			return nil, refusal(v, "", nil)
+			return nil, claimError(v, "", nil)
 		}
 	}
 }
 
-// settle turns the end of a claim into its result.
-func (k *Keys) settle(ctx context.Context, key string, c *claimant) (Claim, error) {
+// completeClaim returns the result of a completed claim.
+func (k *Keys) completeClaim(ctx context.Context, key string, c *claimant) (Claim, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.pending, c.own.Token)
 	if c.verdict == VerdictRun {
-		k.ledger.add(k.now(), key, c.own.Token, c.own.Fingerprint, 0, k.bounds())
+		k.ledger.add(k.now(), key, c.own.Token, c.own.Fingerprint, 0, k.limits())
 		return &storedRun{k: k, key: key, own: c.own, version: c.version}, nil
 	}
-	if c.written {
+	if c.writeUncertain {
 		k.abandoned.add(c.own.Token)
 	}
 	if c.verdict == VerdictReplay {
-		return replayed{c.answer}, nil
+		return replayedClaim{c.response}, nil
 	}
-	return nil, refusal(c.verdict, c.holder.VM, context.Cause(ctx))
+	return nil, claimError(c.verdict, c.holder.VM, context.Cause(ctx))
 }
 
 func (k *Keys) setPending(token string) {
@@ -99,59 +100,59 @@
 	k.pending[token] = struct{}{}
 }
 
-// perform does the step that the claimant asks for.
-func (k *Keys) perform(ctx context.Context, key string, c *claimant) claimEvent {
+// performStep executes the claimant's current step.
+func (k *Keys) performStep(ctx context.Context, key string, c *claimant) stepResult {
 	name := objectName(key)
 	switch c.step {
 	case ClaimCreate:
-		version, err := k.deps.Store.Create(ctx, platform.KindClaim, name, encode(c.own))
-		return claimEvent{version: version, err: err}
+		version, err := k.deps.Store.Create(ctx, platform.KindClaim, name, encodeClaim(c.own))
+		return stepResult{version: version, err: err}
 	case ClaimTakeOver:
-		version, err := k.deps.Store.Update(ctx, platform.KindClaim, name, encode(c.own), c.version)
-		return claimEvent{version: version, err: err}
+		version, err := k.deps.Store.Update(ctx, platform.KindClaim, name, encodeClaim(c.own), c.version)
+		return stepResult{version: version, err: err}
 	case ClaimRead:
-		return k.read(ctx, name)
-	case ClaimAsk:
-		return k.askHolder(ctx, key, &c.holder)
+		return k.readClaim(ctx, name)
+	case ClaimQuery:
+		return k.queryHolder(ctx, key, &c.holder)
 	}
-	wait.For(ctx, claimPause)
-	return claimEvent{}
+	wait.For(ctx, claimRetryDelay)
+	return stepResult{}
 }
 
-func (k *Keys) read(ctx context.Context, name string) claimEvent {
+func (k *Keys) readClaim(ctx context.Context, name string) stepResult {
 	obj, err := k.deps.Store.Get(ctx, platform.KindClaim, name)
 	if err != nil {
-		return claimEvent{err: err}
+		return stepResult{err: err}
 	}
-	ev := claimEvent{version: obj.Version}
-	if err := json.Unmarshal(obj.Value, &ev.object); err != nil {
-		ev.err = trace.Wrap(err, "claim %s", name)
+	result := stepResult{version: obj.Version}
+	if err := json.Unmarshal(obj.Value, &result.object); err != nil {
+		result.err = trace.Wrap(err, "claim %s", name)
 	}
-	return ev
+	return result
 }
 
-func (k *Keys) askHolder(ctx context.Context, key string, holder *claimObject) claimEvent {
-	req := &ownerRequest{Op: opAsk, Incarnation: holder.Incarnation, Key: key, Token: holder.Token, Fingerprint: holder.Fingerprint}
+func (k *Keys) queryHolder(ctx context.Context, key string, holder *claimObject) stepResult {
+	req := &ownerRequest{Op: opQuery, Incarnation: holder.Incarnation, Key: key, Token: holder.Token, Fingerprint: holder.Fingerprint}
 	if holder.VM == k.deps.Self.VM {
 		if holder.Incarnation != k.deps.Self.Incarnation {
-			return claimEvent{verdict: VerdictGone}
+			return stepResult{verdict: VerdictOwnerGone}
 		}
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		answer := k.ask(req)
-		return claimEvent{verdict: answer.Verdict, answer: answer.Answer}
+		response := k.queryRun(req)
+		return stepResult{verdict: response.Verdict, response: response.Response}
 	}
-	answer, err := k.call(ctx, holder.VM, req)
-	return claimEvent{verdict: answer.Verdict, answer: answer.Answer, err: err}
+	response, err := k.call(ctx, holder.VM, req)
+	return stepResult{verdict: response.Verdict, response: response.Response, err: err}
 }
 
-// encode never fails: the type holds nothing that JSON can't hold.
-func encode(c claimObject) []byte {
+// encodeClaim returns a claim object as JSON. Its fields cannot fail to marshal.
+func encodeClaim(c claimObject) []byte {
 	raw, _ := json.Marshal(c)
 	return raw
 }
 
-// storedRun is a run under a key claimed in the platform.
+// storedRun is a run with a key claimed in the platform store.
 type storedRun struct {
 	k       *Keys
 	key     string
@@ -162,25 +163,25 @@
 // Replay implements Claim.
 func (*storedRun) Replay() *Answer { return nil }
 
-// Finish implements Claim. The end is kept in memory at once and written to
-// the claim in the background; until then, or when that fails, others learn it
-// by asking this instance.
+// Finish implements Claim. It records the outcome in memory immediately and writes it to
+// the claim object in the background. Until then, or if the write fails, other VMs get
+// the outcome by querying this instance.
 func (r *storedRun) Finish(o outcome.Outcome, a *Answer) {
-	end := r.own
+	updated := r.own
 	switch o {
 	case outcome.Answered:
-		end.State = ClaimAnswered
-		if a != nil && a.Size() <= storedAnswerBytes {
-			end.Answer = a
+		updated.State = ClaimAnswered
+		if a != nil && a.Size() <= maxStoredResponseBytes {
+			updated.Response = a
 		}
 	case outcome.NotRun:
-		end.State = ClaimReleased
+		updated.State = ClaimReleased
 		r.k.abandon(r.own.Token)
 	default:
-		end.State = ClaimLost
+		updated.State = ClaimUnknown
 	}
 	r.k.finish(r.key, r.own.Token, o, a)
-	r.k.inBackground(func(ctx context.Context) { r.write(ctx, end) })
+	r.k.inBackground(func(ctx context.Context) { r.write(ctx, updated) })
 }
 
 func (k *Keys) abandon(token string) {
@@ -189,37 +190,38 @@
 	k.abandoned.add(token)
 }
 
-// write tries to write the end. A conflict means that a write with a lost
-// answer took effect, or that another run took over a released claim.
-func (r *storedRun) write(ctx context.Context, end claimObject) {
+// write updates the claim object and retries on failure. A conflict means that an earlier
+// write whose response was lost took effect, or that another run took over a released
+// claim.
+func (r *storedRun) write(ctx context.Context, updated claimObject) {
 	for ctx.Err() == nil {
-		_, err := r.k.deps.Store.Update(ctx, platform.KindClaim, objectName(r.key), encode(end), r.version)
-		if result := kindOf(err); result == writeDone || result == writeConflict || result == readNotFound {
+		_, err := r.k.deps.Store.Update(ctx, platform.KindClaim, objectName(r.key), encodeClaim(updated), r.version)
+		if result := classify(err); result == callSucceeded || result == callConflict || result == callNotFound {
 			return
 		}
 		wait.For(ctx, callTimeout)
 	}
 }
 
-// tokenSet remembers the last tokens put into it.
+// tokenSet is a set of the most recently added tokens, of fixed size.
 type tokenSet struct {
-	in   map[string]struct{}
-	ring []string
-	next int
+	members map[string]struct{}
+	ring    []string
+	next    int
 }
 
 func newTokenSet(size int) *tokenSet {
-	return &tokenSet{in: make(map[string]struct{}), ring: make([]string, size)}
+	return &tokenSet{members: make(map[string]struct{}), ring: make([]string, size)}
 }
 
 func (s *tokenSet) add(token string) {
-	delete(s.in, s.ring[s.next])
+	delete(s.members, s.ring[s.next])
 	s.ring[s.next] = token
-	s.in[token] = struct{}{}
+	s.members[token] = struct{}{}
 	s.next = (s.next + 1) % len(s.ring)
 }
 
 func (s *tokenSet) has(token string) bool {
-	_, ok := s.in[token]
+	_, ok := s.members[token]
 	return ok
 }
--- a/internal/idempotency/ticket.go
+++ b/internal/idempotency/ticket.go
@@ -9,9 +9,9 @@
 	"masticturn/internal/edge"
 )
 
-// A key that begins with a ticket and keySeparator belongs to the instance
-// that issued the ticket. As the ticket is a part of the key, a repeated key
-// can't come with another ticket.
+// A key that begins with a ticket and keySeparator is owned by the instance that issued
+// the ticket. The ticket is part of the key, so that a repeated request carries the same
+// ticket.
 const (
 	ticketPrefix    = "mt1"
 	ticketSeparator = "~"
@@ -20,20 +20,21 @@
 	numberBase      = 36
 )
 
-// Instance is one start of a daemon's process.
+// Instance identifies a daemon process: the VM and the incarnation, which changes at
+// each start.
 type Instance struct {
 	VM          string
 	Incarnation uint64
 }
 
-// Ticket names the instance that issued it and when, by that instance's own
-// clock. No two clocks are compared.
+// Ticket identifies the instance that issued it and the time of issue by that instance's
+// clock. Times are never compared across instances.
 type Ticket struct {
 	Instance
 	Issued time.Duration // since the instance started
 }
 
-// String returns the wire form.
+// String returns the ticket in its wire format.
 func (t Ticket) String() string {
 	return strings.Join([]string{
 		ticketPrefix, t.VM,
@@ -42,8 +43,8 @@
 	}, ticketSeparator)
 }
 
-// ParseKey finds the ticket at the head of a key; ok is false when there is
-// none, or none that this program would issue.
+// ParseKey returns the ticket at the beginning of a key. ok is false if there is no
+// valid ticket.
 func ParseKey(key string) (t Ticket, ok bool) {
 	head, own, found := strings.Cut(key, keySeparator)
 	parts := strings.Split(head, ticketSeparator)
