--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -71,7 +71,7 @@
 // quarantined is a request in quarantine, as it is printed.
 type quarantined struct {
 	Digest string `json:"digest"`
-	quarantine.Stored
+	quarantine.StoredRecord
 }
 
 func listQuarantine(ctx context.Context, c *cli.Command, s platform.Store) error {
@@ -82,7 +82,7 @@
 	all := make([]quarantined, 0, len(objects))
 	for _, o := range objects {
 		q := quarantined{Digest: o.Name}
-		if err := json.Unmarshal(o.Value, &q.Stored); err != nil {
+		if err := json.Unmarshal(o.Value, &q.StoredRecord); err != nil {
 			return trace.Wrap(err, "object %s", o.Name)
 		}
 		all = append(all, q)
--- a/internal/daemon/modules.go
+++ b/internal/daemon/modules.go
@@ -61,7 +61,7 @@
 	admitter admission.Admitter
 	callers  *forward.Service
 
-	quarantine quarantine.Screen
+	quarantine quarantine.Screener
 	keyGuard   *customer.Guard
 	limiter    ratelimit.Limiter
 
@@ -230,7 +230,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w.members.Subscribe(keys.Follow)
+	w.members.Subscribe(keys.HandleViewChange)
 	return keys, nil
 }
 
--- a/internal/forward/brokenrun.go
+++ b/internal/forward/brokenrun.go
@@ -25,7 +25,7 @@
 
 // brokenRun is a run whose connection broke before the complete response was received.
 type brokenRun struct {
-	subject   quarantine.Subject
+	subject   quarantine.RequestDigests
 	digest    string // of the request; empty if its body had not arrived
 	id        string // of the request
 	target    *config.TargetIndex
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -48,7 +48,7 @@
 	Locator   lookup.Locator
 	Measure   Observer
 	Keys      idempotency.Registry // nil: requests with idempotency keys are rejected
-	Screen    quarantine.Screen    // nil: no quarantine checks
+	Screen    quarantine.Screener  // nil: no quarantine checks
 	KeyGuard  KeyGuard             // nil: API keys are always accepted
 	Limiter   ratelimit.Limiter    // nil: customers have no rate limits
 	// Expected returns the targets to which connections are opened ahead of requests; nil: none.
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -191,7 +191,7 @@
 // responseRecorder records a response while it is relayed, up to a limit.
 type responseRecorder struct {
 	limit    int64
-	recorded idempotency.Answer
+	recorded idempotency.Response
 	tooLarge bool // the response is larger than the limit
 }
 
@@ -216,7 +216,7 @@
 }
 
 // answer returns the recorded response, or nil if it was too large.
-func (r *responseRecorder) answer() *idempotency.Answer {
+func (r *responseRecorder) answer() *idempotency.Response {
 	if r == nil || r.tooLarge {
 		return nil
 	}
@@ -224,7 +224,7 @@
 }
 
 // replay sends a recorded response.
-func (x *exchange) replay(rec *idempotency.Answer) {
+func (x *exchange) replay(rec *idempotency.Response) {
 	to := x.w.Header()
 	maps.Copy(to, rec.Header)
 	setHeader(to, edge.HeaderRequestID, x.id)
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -10,7 +10,7 @@
 
 // maxAttempts returns the limit of the rule or else of the document; 1 for an exclusive run.
 func (x *exchange) maxAttempts(c *config.Retry) int {
-	if x.pass.Exclusive() {
+	if x.pass.Held() {
 		return 1
 	}
 	if r := x.match.Rule; r != nil && r.MaxAttempts > 0 {
--- a/internal/forward/screen.go
+++ b/internal/forward/screen.go
@@ -28,15 +28,15 @@
 )
 
 // subject returns the digests of the request that are known so far.
-func (x *exchange) subject() quarantine.Subject {
-	var s quarantine.Subject
+func (x *exchange) subject() quarantine.RequestDigests {
+	var s quarantine.RequestDigests
 	s.Whole, _ = x.digest()
 	if x.r.ContentLength != 0 {
 		s.Head = x.headDigest.Key()
 	}
 	if x.stream != nil {
 		if lead := x.stream.leadDigest.Load(); lead != nil {
-			s.Lead = *lead
+			s.Prefix = *lead
 		}
 	}
 	return s
@@ -55,7 +55,7 @@
 	}
 	ctx, cancel := context.WithDeadlineCause(x.r.Context(), x.deadline, errDeadline)
 	defer cancel()
-	pass, refusal := screen.Enter(ctx, x.subject())
+	pass, refusal := screen.Admit(ctx, x.subject())
 	if refusal != nil {
 		return x.quarantineError(refusal)
 	}
@@ -72,7 +72,7 @@
 		telemetry.Value("verdict", r.Verdict.String()),
 		telemetry.Value("crashes", r.Crashes),
 		telemetry.Value("age_ms", r.Age.Milliseconds()),
-		telemetry.Value("trials", r.Trials))
+		telemetry.Value("trials", r.FailedTrials))
 	if r.Verdict == quarantine.Quarantined {
 		return notRunError(outcome.StepScreen, http.StatusBadRequest, "targets have crashed while running this request; it is in quarantine")
 	}
@@ -85,10 +85,10 @@
 // a slot and a connection.
 func (a *attempt) recheckQuarantine() attemptResult {
 	x := a.x
-	if x.h.deps.Screen == nil || x.pass.Exclusive() {
+	if x.h.deps.Screen == nil || x.pass.Held() {
 		return attemptResult{}
 	}
-	refusal := x.h.deps.Screen.Barred(x.subject())
+	refusal := x.h.deps.Screen.Recheck(x.subject())
 	if refusal == nil {
 		return attemptResult{}
 	}
@@ -123,14 +123,14 @@
 // progress.
 func (x *exchange) releaseQuarantine() {
 	x.h.readAheadMemory.release(x.reservedBytes)
-	if !x.pass.Exclusive() {
+	if !x.pass.Held() {
 		return
 	}
 	if x.probeDone == nil {
 		x.pass.Release()
 		return
 	}
-	go func(pass *quarantine.Pass, probed <-chan struct{}) {
+	go func(pass *quarantine.Lease, probed <-chan struct{}) {
 		<-probed
 		pass.Release()
 	}(x.pass, x.probeDone)
--- a/internal/forward/screen_test.go
+++ b/internal/forward/screen_test.go
@@ -24,37 +24,37 @@
 	held          map[digest.Digest]bool
 	heads         map[digest.Digest]bool
 	barAfterCrash bool // Barred rejects all requests after the first crash
-	crashed       []quarantine.Subject
-	answered      []quarantine.Subject
+	crashed       []quarantine.RequestDigests
+	answered      []quarantine.RequestDigests
 }
 
-func (f *fakeScreen) Active() bool                 { return true }
-func (f *fakeScreen) Has(quarantine.Subject) bool  { return true }
-func (f *fakeScreen) HasHead(h digest.Digest) bool { return f.heads[h] }
+func (f *fakeScreen) Active() bool                       { return true }
+func (f *fakeScreen) Has(quarantine.RequestDigests) bool { return true }
+func (f *fakeScreen) HasHead(h digest.Digest) bool       { return f.heads[h] }
 
-func (f *fakeScreen) Enter(_ context.Context, s quarantine.Subject) (*quarantine.Pass, *quarantine.Refusal) {
+func (f *fakeScreen) Admit(_ context.Context, s quarantine.RequestDigests) (*quarantine.Lease, *quarantine.Refusal) {
 	if f.held[s.Whole] {
-		return nil, &quarantine.Refusal{Digest: s.Whole, Judgement: quarantine.Judgement{Verdict: quarantine.Quarantined}}
+		return nil, &quarantine.Refusal{Digest: s.Whole, Assessment: quarantine.Assessment{Verdict: quarantine.Quarantined}}
 	}
 	return nil, nil
 }
 
-func (f *fakeScreen) Barred(s quarantine.Subject) *quarantine.Refusal {
+func (f *fakeScreen) Recheck(s quarantine.RequestDigests) *quarantine.Refusal {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.barAfterCrash && len(f.crashed) > 0 {
-		return &quarantine.Refusal{Digest: s.Whole, Judgement: quarantine.Judgement{Verdict: quarantine.Quarantined}}
+		return &quarantine.Refusal{Digest: s.Whole, Assessment: quarantine.Assessment{Verdict: quarantine.Quarantined}}
 	}
 	return nil
 }
 
-func (f *fakeScreen) Crashed(s quarantine.Subject, _ string, _, _ time.Time) {
+func (f *fakeScreen) Crashed(s quarantine.RequestDigests, _ string, _, _ time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashed = append(f.crashed, s)
 }
 
-func (f *fakeScreen) Answered(s quarantine.Subject) {
+func (f *fakeScreen) Answered(s quarantine.RequestDigests) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answered = append(f.answered, s)
@@ -218,7 +218,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if len(screen.crashed) != 1 || screen.crashed[0].Lead != lead || screen.crashed[0].Whole != (digest.Digest{}) {
+	if len(screen.crashed) != 1 || screen.crashed[0].Prefix != lead || screen.crashed[0].Whole != (digest.Digest{}) {
 		t.Errorf("got %+v, want the lead %v", screen.crashed, lead)
 	}
 }
--- a/internal/idempotency/bench_test.go
+++ b/internal/idempotency/bench_test.go
@@ -37,7 +37,7 @@
 			}
 			at, other := start("a"), start("b")
 			owners := map[string]*Keys{wayLocal: at, wayRemote: other}
-			answer := &Answer{Status: http.StatusOK, Header: http.Header{}, Body: make([]byte, 500)}
+			answer := &Response{Status: http.StatusOK, Header: http.Header{}, Body: make([]byte, 500)}
 			for i := 0; b.Loop(); i++ {
 				key := fmt.Sprint("k", i)
 				if owner := owners[way]; owner != nil {
--- a/internal/idempotency/claimant.go
+++ b/internal/idempotency/claimant.go
@@ -24,7 +24,7 @@
 	Incarnation uint64      `json:"incarnation"`
 	Fingerprint Fingerprint `json:"fingerprint"`
 	State       ClaimState  `json:"state"`
-	Response    *Answer     `json:"answer,omitempty"`
+	Response    *Response   `json:"answer,omitempty"`
 }
 
 // ClaimStep is a step of claiming a key in the platform store.
@@ -51,7 +51,7 @@
 	version  platform.Version // of the object that was written or read
 	object   claimObject      // that was read
 	verdict  Verdict          // returned by the holder
-	response *Answer          // returned by the holder
+	response *Response        // returned by the holder
 }
 
 // claimant is the state machine that claims a key in the platform store. It does no
@@ -73,7 +73,7 @@
 	writeUncertain bool
 
 	verdict  Verdict // set at ClaimDone; 0: the platform cannot decide now
-	response *Answer
+	response *Response
 }
 
 func newClaimant(own claimObject) *claimant { return &claimant{own: own, step: ClaimCreate} }
@@ -92,7 +92,7 @@
 	}
 }
 
-func (c *claimant) finish(v Verdict, a *Answer) {
+func (c *claimant) finish(v Verdict, a *Response) {
 	c.step, c.verdict, c.response = ClaimDone, v, a
 }
 
--- a/internal/idempotency/issue.go
+++ b/internal/idempotency/issue.go
@@ -36,9 +36,9 @@
 	return ""
 }
 
-// Follow prefetches tickets of the members, before lookups need them, and drops those
+// HandleViewChange prefetches tickets of the members, before lookups need them, and drops those
 // of instances that are gone.
-func (k *Keys) Follow(v *membership.View) {
+func (k *Keys) HandleViewChange(v *membership.View) {
 	wanted := make(map[Instance]bool)
 	self, _ := v.Member(k.deps.Self.VM)
 	for _, m := range v.Members {
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -168,13 +168,13 @@
 func newToken() string { return rand.Text() }
 
 // replayedClaim is a Claim with a recorded response.
-type replayedClaim struct{ response *Answer }
+type replayedClaim struct{ response *Response }
 
 // Replay implements Claim.
-func (r replayedClaim) Replay() *Answer { return r.response }
+func (r replayedClaim) Replay() *Response { return r.response }
 
 // Finish implements Claim. It does nothing, as there is no run.
-func (r replayedClaim) Finish(outcome.Outcome, *Answer) {}
+func (r replayedClaim) Finish(outcome.Outcome, *Response) {}
 
 // claimLocal claims a key that this instance owns.
 func (k *Keys) claimLocal(ctx context.Context, r *Request, t Ticket) (Claim, error) {
@@ -182,7 +182,7 @@
 	for {
 		k.mu.Lock()
 		v, e := k.ledger.claim(k.now(), key, token, r.Fingerprint, t.Issued, k.limits())
-		var response *Answer
+		var response *Response
 		var done <-chan struct{}
 		if e != nil {
 			response, done = e.response, e.done
@@ -220,12 +220,12 @@
 }
 
 // Replay implements Claim.
-func (*localRun) Replay() *Answer { return nil }
+func (*localRun) Replay() *Response { return nil }
 
 // Finish implements Claim.
-func (r *localRun) Finish(o outcome.Outcome, a *Answer) { r.k.finish(r.key, r.token, o, a) }
+func (r *localRun) Finish(o outcome.Outcome, a *Response) { r.k.finish(r.key, r.token, o, a) }
 
-func (k *Keys) finish(key, token string, o outcome.Outcome, a *Answer) {
+func (k *Keys) finish(key, token string, o outcome.Outcome, a *Response) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ledger.finish(k.now(), key, token, o, a, k.limits())
--- a/internal/idempotency/keys_test.go
+++ b/internal/idempotency/keys_test.go
@@ -80,9 +80,9 @@
 		f.mu.Unlock()
 	}
 	time.Sleep(10 * time.Millisecond)
-	var a *Answer
+	var a *Response
 	if end == outcome.Answered {
-		a = &Answer{Status: http.StatusOK, Header: http.Header{"X": {"y"}}, Body: []byte("answer to " + body)}
+		a = &Response{Status: http.StatusOK, Header: http.Header{"X": {"y"}}, Body: []byte("answer to " + body)}
 	}
 	c.Finish(end, a)
 	return "", nil
@@ -403,7 +403,7 @@
 			return v
 		}
 		f.hub.Cut("a", "b")
-		a.Follow(view(a, b, c))
+		a.HandleViewChange(view(a, b, c))
 		time.Sleep(10 * time.Second)
 		f.hub.Heal()
 		time.Sleep(10 * time.Second)
@@ -413,7 +413,7 @@
 				t.Errorf("no ticket of %s", k.deps.Self.VM)
 			}
 		}
-		a.Follow(view(a, c))
+		a.HandleViewChange(view(a, c))
 		if n := len(a.tickets); n != 1 {
 			t.Errorf("%d tickets are kept, want 1", n)
 		}
--- a/internal/idempotency/ledger.go
+++ b/internal/idempotency/ledger.go
@@ -62,7 +62,7 @@
 	token       string // of the run that holds it
 	fingerprint Fingerprint
 	state       State
-	response    *Answer
+	response    *Response
 	keepUntil   time.Duration
 	done        chan struct{} // closed when the run ends
 
@@ -129,7 +129,7 @@
 }
 
 // finish records the outcome of a run. It ignores tokens that do not hold the key.
-func (l *ledger) finish(now time.Duration, key, token string, o outcome.Outcome, a *Answer, limits LedgerLimits) {
+func (l *ledger) finish(now time.Duration, key, token string, o outcome.Outcome, a *Response, limits LedgerLimits) {
 	e := l.records[key]
 	if e == nil || e.token != token || e.state != StateRunning {
 		return
@@ -148,7 +148,7 @@
 }
 
 // storeResponse stores a response and evicts the oldest ones if needed.
-func (l *ledger) storeResponse(e *entry, a *Answer, limits LedgerLimits) {
+func (l *ledger) storeResponse(e *entry, a *Response, limits LedgerLimits) {
 	if a == nil {
 		return
 	}
--- a/internal/idempotency/ledger_test.go
+++ b/internal/idempotency/ledger_test.go
@@ -49,7 +49,7 @@
 					if before != nil && before.state == StateRunning && o == outcome.NotRun {
 						used[key] = false
 					}
-					l.finish(now, key, held[key], o, &Answer{Body: make([]byte, 900)}, testLimits)
+					l.finish(now, key, held[key], o, &Response{Body: make([]byte, 900)}, testLimits)
 				case 3:
 					now += time.Duration(action) * time.Second
 				}
@@ -71,7 +71,7 @@
 		if v, _ := l.claim(0, key, "t", 1, 0, testLimits); v != VerdictRun {
 			t.Fatalf("key %d: verdict %d", i, v)
 		}
-		l.finish(0, key, "t", outcome.Answered, &Answer{Body: make([]byte, 100)}, testLimits)
+		l.finish(0, key, "t", outcome.Answered, &Response{Body: make([]byte, 100)}, testLimits)
 	}
 	tests := []struct {
 		name, key string
@@ -118,8 +118,8 @@
 // Guards against sending a response that exceeds the frame limit of the peer network, which
 // would break the connection between two VMs.
 func TestLargeResponsesAreNotSent(t *testing.T) {
-	large := &Answer{Body: make([]byte, maxPeerResponseBytes+1)}
-	small := &Answer{Body: make([]byte, maxPeerResponseBytes)}
+	large := &Response{Body: make([]byte, maxPeerResponseBytes+1)}
+	small := &Response{Body: make([]byte, maxPeerResponseBytes)}
 	if got := newOwnerResponse(VerdictReplay, large); got.Verdict != VerdictResponseDropped || got.Response != nil {
 		t.Errorf("large response: got verdict %d, response present: %v", got.Verdict, got.Response != nil)
 	}
--- a/internal/idempotency/messages.go
+++ b/internal/idempotency/messages.go
@@ -25,14 +25,14 @@
 	Fingerprint Fingerprint     `msgpack:"f,omitempty"`
 	Issued      time.Duration   `msgpack:"s,omitempty"`
 	Outcome     outcome.Outcome `msgpack:"u,omitempty"`
-	Response    *Answer         `msgpack:"a,omitempty"`
+	Response    *Response       `msgpack:"a,omitempty"`
 }
 
 // ownerResponse is the response to ownerRequest.
 type ownerResponse struct {
-	Verdict  Verdict `msgpack:"v"`
-	Response *Answer `msgpack:"a,omitempty"`
-	Ticket   string  `msgpack:"t,omitempty"`
+	Verdict  Verdict   `msgpack:"v"`
+	Response *Response `msgpack:"a,omitempty"`
+	Ticket   string    `msgpack:"t,omitempty"`
 }
 
 // maxPeerResponseBytes is the maximum size of a response sent between instances, in bytes. It is
@@ -41,7 +41,7 @@
 
 // peerResponse returns the response if it is small enough to be sent to another instance,
 // else nil.
-func peerResponse(a *Answer) *Answer {
+func peerResponse(a *Response) *Response {
 	if a == nil || a.Size() > maxPeerResponseBytes {
 		return nil
 	}
@@ -50,7 +50,7 @@
 
 // newOwnerResponse returns the message for a verdict. A response that is too large to send is
 // reported as dropped.
-func newOwnerResponse(v Verdict, a *Answer) *ownerResponse {
+func newOwnerResponse(v Verdict, a *Response) *ownerResponse {
 	if v != VerdictReplay {
 		return &ownerResponse{Verdict: v}
 	}
--- a/internal/idempotency/registry.go
+++ b/internal/idempotency/registry.go
@@ -36,17 +36,17 @@
 	Deadline    time.Time // of the caller
 }
 
-// Answer is a complete response of a target, recorded for replay.
-type Answer struct {
+// Response is a complete response of a target, recorded for replay.
+type Response struct {
 	Status int         `msgpack:"s" json:"status"`
 	Header http.Header `msgpack:"h" json:"header"`
 	Body   []byte      `msgpack:"b" json:"body"`
 }
 
 // Size returns the size of the response in bytes, as counted against LedgerLimits.MaxBytes.
-func (a *Answer) Size() int64 {
-	n := len(a.Body)
-	for name, values := range a.Header {
+func (r *Response) Size() int64 {
+	n := len(r.Body)
+	for name, values := range r.Header {
 		n += len(name)
 		for _, v := range values {
 			n += len(v)
@@ -59,10 +59,10 @@
 // not be run. Otherwise this VM may run it once and must call Finish exactly once.
 type Claim interface {
 	// Replay returns the recorded response of an earlier run, or nil.
-	Replay() *Answer
+	Replay() *Response
 	// Finish records the outcome of the run and, if not nil, its response. NotRun
 	// releases the key; the request must not run afterwards.
-	Finish(o outcome.Outcome, a *Answer)
+	Finish(o outcome.Outcome, a *Response)
 }
 
 // Registry claims keys. Errors are of type *outcome.Error at StepClaim, with the outcome
--- a/internal/idempotency/remote.go
+++ b/internal/idempotency/remote.go
@@ -73,10 +73,10 @@
 }
 
 // Replay implements Claim.
-func (*remoteRun) Replay() *Answer { return nil }
+func (*remoteRun) Replay() *Response { return nil }
 
 // Finish implements Claim. If the owner is unreachable, the key remains claimed.
-func (r *remoteRun) Finish(o outcome.Outcome, a *Answer) {
+func (r *remoteRun) Finish(o outcome.Outcome, a *Response) {
 	r.k.inBackground(func(ctx context.Context) {
 		_, _ = r.k.call(ctx, r.owner.VM, &ownerRequest{
 			Op: opFinish, Incarnation: r.owner.Incarnation, Key: r.key, Token: r.token, Outcome: o, Response: peerResponse(a),
--- a/internal/idempotency/stored.go
+++ b/internal/idempotency/stored.go
@@ -161,12 +161,12 @@
 }
 
 // Replay implements Claim.
-func (*storedRun) Replay() *Answer { return nil }
+func (*storedRun) Replay() *Response { return nil }
 
 // Finish implements Claim. It records the outcome in memory immediately and writes it to
 // the claim object in the background. Until then, or if the write fails, other VMs get
 // the outcome by querying this instance.
-func (r *storedRun) Finish(o outcome.Outcome, a *Answer) {
+func (r *storedRun) Finish(o outcome.Outcome, a *Response) {
 	updated := r.own
 	switch o {
 	case outcome.Answered:
--- a/internal/placement/emulation/troubles.go
+++ b/internal/placement/emulation/troubles.go
@@ -68,7 +68,7 @@
 	if q.vm.ledger.Len() == 0 {
 		return true
 	}
-	switch q.vm.ledger.Judge(q.digest(), r.now).Verdict {
+	switch q.vm.ledger.Assess(q.digest(), r.now).Verdict {
 	case quarantine.Suspect:
 		return !r.runs(q.crashing)
 	case quarantine.Quarantined:
@@ -176,7 +176,7 @@
 			r.result.leavingSince[path{y.vm, y.target}] = r.now
 		}
 	}
-	if y.vm.ledger.Len() > 0 && y.vm.ledger.Acquit(y.req.digest(), r.now) {
+	if y.vm.ledger.Len() > 0 && y.vm.ledger.Clear(y.req.digest(), r.now) {
 		r.spread(y.vm, y.req.digest())
 	}
 }
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -118,9 +118,9 @@
 // start starts or restarts a VM. first is Deps.FirstStart.
 func (f *fleet) start(number int, first bool) *vm {
 	record := f.records[number]
-	machine := membership.NewStateMachine(record, membership.Options{}.WithDefaults(), rand.New(rand.NewPCG(1, uint64(number))), time.Now())
-	machine.HandleJoinResponse(time.Now(), &membership.JoinResponse{Name: "other", Records: f.records})
-	partners := machine.Partners()
+	member := membership.NewStateMachine(record, membership.Options{}.WithDefaults(), rand.New(rand.NewPCG(1, uint64(number))), time.Now())
+	member.HandleJoinResponse(time.Now(), &membership.JoinResponse{Name: "other", Records: f.records})
+	partners := member.Partners()
 	v := &vm{name: record.Name, members: &members{view: f.view(record.Name, nil)}, store: &countingStore{Store: f.store}}
 	network := f.hub.Network(record.Name)
 	for i := range f.records {
@@ -184,11 +184,11 @@
 	}
 }
 
-func subjectOf(name string) Subject { return Subject{Whole: digestOf(name)} }
+func requestOf(name string) RequestDigests { return RequestDigests{Whole: digestOf(name)} }
 
 // crash records the crash of a target during a run of a request that the VM has sent.
 func (v *vm) crash(name string, target int) {
-	v.Crashed(subjectOf(name), fmt.Sprint("t", target), time.Now().Add(-50*time.Millisecond), time.Now())
+	v.Crashed(requestOf(name), fmt.Sprint("t", target), time.Now().Add(-50*time.Millisecond), time.Now())
 }
 
 // crashInSequence records one crash at each of the given VMs, 300 ms apart.
@@ -203,7 +203,7 @@
 
 // verdict returns the VM's verdict on a request.
 func (v *vm) verdict(name string) Verdict {
-	if r := v.Barred(subjectOf(name)); r != nil {
+	if r := v.Recheck(requestOf(name)); r != nil {
 		return r.Verdict
 	}
 	return Clear
@@ -251,7 +251,7 @@
 				f.crashInSequence("/x", f.vms[0], f.vms[size/2], f.vms[size-1])
 				held := f.awaitVerdict("/x", Quarantined)
 				after := f.hub.Stats()
-				f.vms[size/3].Answered(subjectOf("/x"))
+				f.vms[size/3].Answered(requestOf("/x"))
 				cleared := f.awaitVerdict("/x", Clear)
 				perVM := float64(after.Bytes-before.Bytes) / float64(size)
 				t.Logf("quarantined on all VMs after %v, cleared after %v; %.0f bytes and %.0f messages per VM for the quarantine",
@@ -339,7 +339,7 @@
 		if calls > 2 {
 			t.Errorf("%d calls to the store at the start, want at most 2", calls)
 		}
-		f.vms[0].Answered(subjectOf("/x"))
+		f.vms[0].Answered(requestOf("/x"))
 		time.Sleep(3 * time.Second)
 		if list, _, _ := f.store.List(t.Context(), platform.KindQuarantine); len(list) != 0 {
 			t.Errorf("the store has %d requests in quarantine, want none", len(list))
@@ -360,7 +360,7 @@
 			t.Fatal(err)
 		}
 		for n := range 60 { // objects are only checked while the request arrives
-			_, _ = f.vms[n%9].Enter(t.Context(), subjectOf("/x"))
+			_, _ = f.vms[n%9].Admit(t.Context(), requestOf("/x"))
 			time.Sleep(500 * time.Millisecond)
 		}
 		f.awaitVerdict("/x", Clear)
@@ -373,11 +373,11 @@
 		f.awaitVerdict("/x", Suspect)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		var granted []*Pass
+		var granted []*Lease
 		for _, v := range f.vms {
-			pass, refusal := v.Enter(ctx, subjectOf("/x"))
-			if pass.Exclusive() {
-				granted = append(granted, pass)
+			lease, refusal := v.Admit(ctx, requestOf("/x"))
+			if lease.Held() {
+				granted = append(granted, lease)
 			} else if refusal == nil || refusal.Verdict != Suspect || refusal.RetryAfter <= 0 {
 				t.Errorf("%s: got refusal %+v without a lease, want suspect with a retry delay", v.name, refusal)
 			}
@@ -387,7 +387,7 @@
 		}
 		granted[0].Release()
 		time.Sleep(denialInterval + 100*time.Millisecond)
-		if pass, _ := f.vms[3].Enter(ctx, subjectOf("/x")); !pass.Exclusive() {
+		if lease, _ := f.vms[3].Admit(ctx, requestOf("/x")); !lease.Held() {
 			t.Error("no lease granted after the previous one was released")
 		}
 	})
@@ -400,7 +400,7 @@
 		defer cancel()
 		var holder *vm
 		for _, v := range f.vms {
-			if pass, _ := v.Enter(ctx, subjectOf("/x")); pass.Exclusive() {
+			if lease, _ := v.Admit(ctx, requestOf("/x")); lease.Held() {
 				holder = v
 			}
 		}
@@ -413,7 +413,7 @@
 			if v == holder {
 				continue
 			}
-			if pass, _ := v.Enter(t.Context(), subjectOf("/x")); pass.Exclusive() {
+			if lease, _ := v.Admit(t.Context(), requestOf("/x")); lease.Held() {
 				return
 			}
 		}
@@ -431,7 +431,7 @@
 	}
 	source.Crashed(d, digest.Digest{}, crash(1, 0, 0.1), at(0.1))
 	note(0.1)
-	source.Acquit(d, at(2))
+	source.Clear(d, at(2))
 	note(2)
 	for i := range 3 {
 		ended := 4 + float64(i)
@@ -447,7 +447,7 @@
 			// Ages are relative to the time at which the report was created.
 			l.Merge(reports[i], at(times[i]))
 		}
-		if got := l.Judge(d, at(6)); got.Verdict != Quarantined || got.Crashes != 3 {
+		if got := l.Assess(d, at(6)); got.Verdict != Quarantined || got.Crashes != 3 {
 			t.Fatalf("order %v: got %+v, want 3 crashes and quarantine", order, got)
 		}
 	}
@@ -461,7 +461,7 @@
 		v.crash("/x", 1)
 		time.Sleep(100 * time.Millisecond)
 		f.setIsolated(v, true)
-		f.vms[0].Answered(subjectOf("/x"))
+		f.vms[0].Answered(requestOf("/x"))
 		time.Sleep(time.Second)
 		for n := range 4 {
 			v.crash("/x", 2+n) // simultaneous, as when an availability zone is lost
@@ -493,7 +493,7 @@
 		many.Crashes = append(many.Crashes, ReportedCrash{uint32(n), 1, uint32(n * 2000)})
 	}
 	l.Merge(many, at(0))
-	if n := l.Judge(good, at(0)).Crashes; n > maxCrashesPerRecord {
+	if n := l.Assess(good, at(0)).Crashes; n > maxCrashesPerRecord {
 		t.Errorf("%d crashes in the record, want at most %d", n, maxCrashesPerRecord)
 	}
 }
--- a/internal/quarantine/lease.go
+++ b/internal/quarantine/lease.go
@@ -28,12 +28,12 @@
 
 // grant grants a lease for one run. If it is denied, retryAfter is the delay until one
 // may be granted; 0: unknown.
-func (l *leaseTable) grant(d digest.Digest, j Judgement, duration time.Duration, now time.Time) (granted bool, retryAfter time.Duration) {
+func (l *leaseTable) grant(d digest.Digest, a Assessment, duration time.Duration, now time.Time) (granted bool, retryAfter time.Duration) {
 	if until := l.expiry[d]; now.Before(until) {
 		return false, until.Sub(now)
 	}
-	if j.Verdict == Quarantined && j.TrialIn != 0 {
-		return false, max(j.TrialIn, 0)
+	if a.Verdict == Quarantined && a.TrialIn != 0 {
+		return false, max(a.TrialIn, 0)
 	}
 	l.expiry[d] = now.Add(min(duration, maxLease))
 	return true, 0
@@ -67,76 +67,76 @@
 	Report Report // includes the outcome of the run
 }
 
-// Pass is the admission of a request that needs a lease. A nil Pass has no lease.
-type Pass struct {
+// Lease permits one run of a suspect request. It is nil for requests that need none.
+type Lease struct {
 	service *Service
 	digest  digest.Digest
-	owner   string // VM that granted the lease; empty: no lease
+	owner   string // VM that granted the lease
 }
 
-// Exclusive reports whether the request holds a lease, so that it must run only once.
-func (p *Pass) Exclusive() bool { return p != nil && p.owner != "" }
+// Held reports whether the request holds a lease, so that it must run only once.
+func (l *Lease) Held() bool { return l != nil && l.owner != "" }
 
 // Release releases the lease. The outcome of the run must be recorded before.
-func (p *Pass) Release() {
-	if !p.Exclusive() {
+func (l *Lease) Release() {
+	if !l.Held() {
 		return
 	}
-	s := p.service
+	s := l.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p.owner == s.deps.Self {
-		s.leases.release(p.digest)
+	if l.owner == s.deps.Self {
+		s.leases.release(l.digest)
 		return
 	}
-	report, _ := s.ledger.Report(p.digest, s.deps.Clock.Now())
-	_ = s.deps.Network.Send(p.owner, peer.KindQuarantineRelease, &leaseRelease{p.digest[:], report}) // if it is lost, the lease expires
+	report, _ := s.ledger.Report(l.digest, s.deps.Clock.Now())
+	_ = s.deps.Network.Send(l.owner, peer.KindQuarantineRelease, &leaseRelease{l.digest[:], report}) // if it is lost, the lease expires
 }
 
-// Enter implements Screen.
-func (s *Service) Enter(ctx context.Context, subject Subject) (*Pass, *Refusal) {
-	d, j, suppressed := s.checkArrival(subject)
+// Admit implements Screener.
+func (s *Service) Admit(ctx context.Context, request RequestDigests) (*Lease, *Refusal) {
+	d, a, suppressed := s.checkArrival(request)
 	switch {
-	case j.Verdict == Clear:
+	case a.Verdict == Clear:
 		return nil, nil
-	case j.Verdict == Quarantined && j.TrialIn != 0 || suppressed > 0:
-		return nil, s.leaseRefusal(d, j, suppressed)
+	case a.Verdict == Quarantined && a.TrialIn != 0 || suppressed > 0:
+		return nil, s.leaseRefusal(d, a, suppressed)
 	}
 	owner := s.leaseOwner(d)
 	granted, retryAfter := s.requestLease(ctx, owner, d)
 	if !granted {
 		s.recordDenial(d)
-		return nil, s.leaseRefusal(d, j, retryAfter)
+		return nil, s.leaseRefusal(d, a, retryAfter)
 	}
-	return &Pass{service: s, digest: d, owner: owner}, nil
+	return &Lease{service: s, digest: d, owner: owner}, nil
 }
 
 // checkArrival returns the verdict on an arriving request and how long lease requests are
 // still suppressed after a denial.
-func (s *Service) checkArrival(subject Subject) (d digest.Digest, j Judgement, suppressed time.Duration) {
+func (s *Service) checkArrival(request RequestDigests) (d digest.Digest, a Assessment, suppressed time.Duration) {
 	if !s.Active() {
-		return d, j, 0
+		return d, a, 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.deps.Clock.Now()
-	d, j = s.assess(subject)
+	d, a = s.assess(request)
 	if s.ledger.Touch(d, now) {
 		s.publish(d, "")
 	}
-	if j.Verdict == Quarantined {
+	if a.Verdict == Quarantined {
 		s.persistence.touch(d, now)
 	}
-	return d, j, max(s.deniedUntil[d].Sub(now), 0)
+	return d, a, max(s.deniedUntil[d].Sub(now), 0)
 }
 
-func (s *Service) leaseRefusal(d digest.Digest, j Judgement, retryAfter time.Duration) *Refusal {
+func (s *Service) leaseRefusal(d digest.Digest, a Assessment, retryAfter time.Duration) *Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if retryAfter <= 0 {
 		retryAfter = suspectRetryAfter
 	}
-	return s.refusal(d, j, min(max(retryAfter, denialInterval), suspectRetryAfter))
+	return s.refusal(d, a, min(max(retryAfter, denialInterval), suspectRetryAfter))
 }
 
 // recordDenial suppresses lease requests for denialInterval.
@@ -189,7 +189,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.deps.Clock.Now()
-	return s.leases.grant(d, s.ledger.Judge(d, now), duration, now)
+	return s.leases.grant(d, s.ledger.Assess(d, now), duration, now)
 }
 
 func (s *Service) handleLease(_ context.Context, _ string, payload []byte) (any, error) {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -50,7 +50,7 @@
 // can lift the quarantine.
 var trialDelays = [...]time.Duration{30 * time.Second, 5 * time.Minute}
 
-// noTrialLeft is the value of Judgement.TrialIn if no trials are left.
+// noTrialLeft is the value of Assessment.TrialIn if no trials are left.
 const noTrialLeft = -time.Second
 
 // Memory limits. The record with the fewest crashes is evicted first; among equals, the
@@ -219,9 +219,9 @@
 	return n
 }
 
-// Acquit clears a request after an answered run or a lift by an operator. It returns
+// Clear clears a request after an answered run or a lift by an operator. It returns
 // whether the record changed.
-func (l *Ledger) Acquit(d digest.Digest, now time.Time) bool {
+func (l *Ledger) Clear(d digest.Digest, now time.Time) bool {
 	r := l.records[d]
 	if r == nil || len(r.crashes) == 0 && r.quarantinedAt.IsZero() {
 		return false
@@ -261,35 +261,35 @@
 	l.targets[c.Target] = rest
 }
 
-// Judgement is a verdict with the data it is based on.
-type Judgement struct {
-	Verdict Verdict
-	Stored  bool          // persisted in the store
-	Crashes int           // since the request was last cleared
-	Age     time.Duration // of the last crash
-	Trials  int           // failed trials
+// Assessment is a verdict with the data it is based on.
+type Assessment struct {
+	Verdict      Verdict
+	Stored       bool          // persisted in the store
+	Crashes      int           // since the request was last cleared
+	Age          time.Duration // of the last crash
+	FailedTrials int
 	// TrialIn is the delay until the next trial; 0: due, negative: never.
 	TrialIn time.Duration
 }
 
-// Judge returns the verdict on a request.
-func (l *Ledger) Judge(d digest.Digest, now time.Time) Judgement {
+// Assess returns the verdict on a request.
+func (l *Ledger) Assess(d digest.Digest, now time.Time) Assessment {
 	r := l.records[d]
 	if r == nil {
-		return Judgement{}
+		return Assessment{}
 	}
-	j := Judgement{Crashes: len(r.crashes), Trials: r.failedTrials, Stored: r.stored}
+	a := Assessment{Crashes: len(r.crashes), FailedTrials: r.failedTrials, Stored: r.stored}
 	if n := len(r.crashes); n > 0 {
-		j.Age = now.Sub(r.crashes[n-1].Ended)
+		a.Age = now.Sub(r.crashes[n-1].Ended)
 	}
 	switch {
 	case !r.quarantinedAt.IsZero():
-		j.Verdict = Quarantined
-		j.TrialIn = trialIn(r, now)
+		a.Verdict = Quarantined
+		a.TrialIn = trialIn(r, now)
 	case longestSequence(l.unexplained(d, r)) >= suspectSequence:
-		j.Verdict = Suspect
+		a.Verdict = Suspect
 	}
-	return j
+	return a
 }
 
 func trialIn(r *record, now time.Time) time.Duration {
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -27,7 +27,7 @@
 func replay(l *Ledger, name string, crashes ...Crash) {
 	for _, c := range crashes {
 		if c.Target == TargetID(fmt.Sprint("t", answeredRun)) {
-			l.Acquit(digestOf(name), c.Ended)
+			l.Clear(digestOf(name), c.Ended)
 			continue
 		}
 		l.Crashed(digestOf(name), digest.Digest{}, c, c.Ended)
@@ -59,7 +59,7 @@
 	for name, tt := range tests {
 		l := NewLedger()
 		replay(l, "/x", tt.events...)
-		if got := l.Judge(digestOf("/x"), at(6)).Verdict; got != tt.want {
+		if got := l.Assess(digestOf("/x"), at(6)).Verdict; got != tt.want {
 			t.Errorf("%s: got %v, want %v", name, got, tt.want)
 		}
 	}
@@ -79,11 +79,11 @@
 			replay(l, fmt.Sprintf("/own/%d/%d", n, own), crash(n, began-0.2, ended))
 		}
 	}
-	if got := l.Judge(digestOf("/crashing"), at(5)).Verdict; got != Quarantined {
+	if got := l.Assess(digestOf("/crashing"), at(5)).Verdict; got != Quarantined {
 		t.Errorf("the crashing request is %v, want quarantined", got)
 	}
 	for _, name := range []string{"/frequent", "/own/0/0", "/own/3/7"} {
-		if got := l.Judge(digestOf(name), at(5)).Verdict; got != Clear {
+		if got := l.Assess(digestOf(name), at(5)).Verdict; got != Clear {
 			t.Errorf("%s is %v, want clear", name, got)
 		}
 	}
@@ -104,7 +104,7 @@
 			}
 		}
 	}
-	if got := l.Judge(digestOf("/frequent"), at(20)); got.Verdict != Clear || got.Crashes != 4 {
+	if got := l.Assess(digestOf("/frequent"), at(20)); got.Verdict != Clear || got.Crashes != 4 {
 		t.Errorf("the frequent request: got %+v, want clear with 4 crashes", got)
 	}
 }
@@ -128,7 +128,7 @@
 		}
 	}
 	for c := range requests {
-		if got := l.Judge(digestOf(fmt.Sprint("/crashing/", c)), at(20)); got.Verdict != Quarantined {
+		if got := l.Assess(digestOf(fmt.Sprint("/crashing/", c)), at(20)); got.Verdict != Quarantined {
 			t.Errorf("request %d: got %+v, want quarantined", c, got)
 		}
 	}
@@ -156,11 +156,11 @@
 			replay(l, "/x", crash(5+i, s.now, s.now+0.1))
 			continue
 		}
-		if got := l.Judge(d, at(s.now)).TrialIn; got.Round(time.Millisecond) != s.want.Round(time.Millisecond) {
+		if got := l.Assess(d, at(s.now)).TrialIn; got.Round(time.Millisecond) != s.want.Round(time.Millisecond) {
 			t.Errorf("at %v s: next trial in %v, want %v", s.now, got, s.want)
 		}
 	}
-	if !l.Acquit(d, at(3001)) || l.Judge(d, at(3001)).Verdict != Clear {
+	if !l.Clear(d, at(3001)) || l.Assess(d, at(3001)).Verdict != Clear {
 		t.Error("the quarantine was not lifted")
 	}
 }
--- a/internal/quarantine/persistence.go
+++ b/internal/quarantine/persistence.go
@@ -34,9 +34,9 @@
 	maxDeletes = 256
 )
 
-// Stored is the value of an object of platform.KindQuarantine. The name of the object is
+// StoredRecord is the value of an object of platform.KindQuarantine. The name of the object is
 // the digest of the request.
-type Stored struct {
+type StoredRecord struct {
 	Head      string    `json:"head,omitempty"` // digest of the head, for requests with a body
 	Crashes   int       `json:"crashes"`
 	Since     time.Time `json:"since"`
@@ -129,7 +129,7 @@
 // importObject merges an object from the store; s.mu is held.
 func (s *Service) importObject(o *platform.Object) {
 	d, err := digest.Parse(o.Name)
-	var value Stored
+	var value StoredRecord
 	if err == nil {
 		err = json.Unmarshal(o.Value, &value)
 	}
@@ -196,8 +196,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.deps.Clock.Now()
-	j := s.ledger.Judge(d, now)
-	value := Stored{Crashes: j.Crashes, Since: now.UTC(), WrittenBy: s.deps.Self}
+	a := s.ledger.Assess(d, now)
+	value := StoredRecord{Crashes: a.Crashes, Since: now.UTC(), WrittenBy: s.deps.Self}
 	if head := s.ledger.Head(d); head != (digest.Digest{}) {
 		value.Head = head.String()
 	}
@@ -244,7 +244,7 @@
 		}
 		delete(s.persistence.arrived, d)
 		s.persistence.lastCheck[d] = now
-		if s.ledger.Judge(d, now).Stored {
+		if s.ledger.Assess(d, now).Stored {
 			out = append(out, d)
 		}
 	}
@@ -261,5 +261,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.applyChange(d, "", "lifted", func(now time.Time) bool { return s.ledger.Acquit(d, now) })
+	s.applyChange(d, "", "lifted", func(now time.Time) bool { return s.ledger.Clear(d, now) })
 }
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -21,17 +21,17 @@
 // ServiceName is the name under which the service is registered.
 const ServiceName = "quarantine"
 
-// Subject identifies a request by the digests that are known so far.
-type Subject struct {
-	Whole digest.Digest // of the whole request; zero until the body is complete
-	Lead  digest.Digest // of the head and the beginning of a streamed body, else zero
-	Head  digest.Digest // of the head, for requests with a body, else zero
+// RequestDigests identifies a request by the digests that are known so far.
+type RequestDigests struct {
+	Whole  digest.Digest // of the whole request; zero until the body is complete
+	Prefix digest.Digest // of the head and the beginning of a streamed body, else zero
+	Head   digest.Digest // of the head, for requests with a body, else zero
 }
 
 // digests returns the known digests of the request.
-func (s Subject) digests() []digest.Digest {
+func (r RequestDigests) digests() []digest.Digest {
 	var out []digest.Digest
-	for _, d := range [...]digest.Digest{s.Whole, s.Lead} {
+	for _, d := range [...]digest.Digest{r.Whole, r.Prefix} {
 		if d != (digest.Digest{}) {
 			out = append(out, d)
 		}
@@ -40,40 +40,40 @@
 }
 
 // mostSpecific returns the most specific known digest, or zero if there is none.
-func (s Subject) mostSpecific() digest.Digest {
-	if s.Whole != (digest.Digest{}) {
-		return s.Whole
+func (r RequestDigests) mostSpecific() digest.Digest {
+	if r.Whole != (digest.Digest{}) {
+		return r.Whole
 	}
-	return s.Lead
+	return r.Prefix
 }
 
 // Refusal is the rejection of a request.
 type Refusal struct {
 	Digest digest.Digest
-	Judgement
+	Assessment
 	// RetryAfter is the delay after which the caller may retry; 0: it should not retry.
 	RetryAfter time.Duration
 }
 
-// Screen decides which requests may run, and records the outcomes of runs.
-type Screen interface {
+// Screener decides which requests may run, and records the outcomes of runs.
+type Screener interface {
 	// Active reports whether there is a record of any request. It costs one atomic load.
 	Active() bool
 	// Has reports whether there is a record of a request.
-	Has(s Subject) bool
+	Has(r RequestDigests) bool
 	// HasHead reports whether there is a record of a request with this head and a body,
 	// so that the body is needed to identify the request.
 	HasHead(head digest.Digest) bool
-	// Enter checks an arriving request. A suspect request needs a lease, which may require
+	// Admit checks an arriving request. A suspect request needs a lease, which may require
 	// a call to another VM. If the request is clear, both results are nil.
-	Enter(ctx context.Context, s Subject) (*Pass, *Refusal)
-	// Barred checks a request without a lease again before it is sent to a target. It
+	Admit(ctx context.Context, r RequestDigests) (*Lease, *Refusal)
+	// Recheck checks a request without a lease again before it is sent to a target. It
 	// returns nil if the request may run.
-	Barred(s Subject) *Refusal
+	Recheck(r RequestDigests) *Refusal
 	// Crashed records the crash of a target during a run.
-	Crashed(s Subject, target string, began, ended time.Time)
+	Crashed(r RequestDigests, target string, began, ended time.Time)
 	// Answered records an answered run, which clears the request.
-	Answered(s Subject)
+	Answered(r RequestDigests)
 }
 
 // Deps are the dependencies of a Service.
@@ -120,7 +120,7 @@
 }
 
 var (
-	_ Screen         = (*Service)(nil)
+	_ Screener       = (*Service)(nil)
 	_ kernel.Service = (*Service)(nil)
 )
 
@@ -234,26 +234,26 @@
 	s.stats.update(s.ledger)
 }
 
-// Active implements Screen.
+// Active implements Screener.
 func (s *Service) Active() bool { return s.active.Load() }
 
-// Has implements Screen.
-func (s *Service) Has(subject Subject) bool {
+// Has implements Screener.
+func (s *Service) Has(request RequestDigests) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(subject.digests(), s.ledger.Has)
+	return slices.ContainsFunc(request.digests(), s.ledger.Has)
 }
 
-// HasHead implements Screen.
+// HasHead implements Screener.
 func (s *Service) HasHead(head digest.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.HasHead(head)
 }
 
-// Crashed implements Screen.
-func (s *Service) Crashed(subject Subject, target string, began, ended time.Time) {
-	d := subject.mostSpecific()
+// Crashed implements Screener.
+func (s *Service) Crashed(request RequestDigests, target string, began, ended time.Time) {
+	d := request.mostSpecific()
 	if d == (digest.Digest{}) {
 		return
 	}
@@ -261,26 +261,26 @@
 	defer s.mu.Unlock()
 	s.stats.crashes.Inc()
 	s.applyChange(d, "", "crash", func(now time.Time) bool {
-		return s.ledger.Crashed(d, subject.Head, Crash{TargetID(target), began, ended}, now)
+		return s.ledger.Crashed(d, request.Head, Crash{TargetID(target), began, ended}, now)
 	})
 }
 
-// Answered implements Screen.
-func (s *Service) Answered(subject Subject) {
+// Answered implements Screener.
+func (s *Service) Answered(request RequestDigests) {
 	if !s.Active() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, d := range subject.digests() {
+	for _, d := range request.digests() {
 		s.clearRequest(d, "answered")
 	}
 }
 
 // clearRequest clears a request; s.mu is held.
 func (s *Service) clearRequest(d digest.Digest, cause string) {
-	stored := s.ledger.Judge(d, s.deps.Clock.Now()).Stored
-	cleared := s.applyChange(d, "", cause, func(now time.Time) bool { return s.ledger.Acquit(d, now) })
+	stored := s.ledger.Assess(d, s.deps.Clock.Now()).Stored
+	cleared := s.applyChange(d, "", cause, func(now time.Time) bool { return s.ledger.Clear(d, now) })
 	if cleared && stored {
 		s.persistence.scheduleDelete(d)
 	}
@@ -290,7 +290,7 @@
 // s.mu is held. from is the VM that reported the change, empty for this one.
 func (s *Service) applyChange(d digest.Digest, from, cause string, apply func(now time.Time) bool) bool {
 	now := s.deps.Clock.Now()
-	before := s.ledger.Judge(d, now)
+	before := s.ledger.Assess(d, now)
 	if !apply(now) {
 		return false
 	}
@@ -301,8 +301,8 @@
 }
 
 // logChange logs a change of the verdict; s.mu is held.
-func (s *Service) logChange(d digest.Digest, before *Judgement, cause string, now time.Time) {
-	after := s.ledger.Judge(d, now)
+func (s *Service) logChange(d digest.Digest, before *Assessment, cause string, now time.Time) {
+	after := s.ledger.Assess(d, now)
 	if after.Verdict == before.Verdict {
 		return
 	}
@@ -317,44 +317,44 @@
 		telemetry.Value("digest", d.String()),
 		telemetry.Value("cause", cause),
 		telemetry.Value("crashes", max(after.Crashes, before.Crashes)),
-		telemetry.Value("trials", max(after.Trials, before.Trials)))
+		telemetry.Value("trials", max(after.FailedTrials, before.FailedTrials)))
 }
 
-// Barred implements Screen.
-func (s *Service) Barred(subject Subject) *Refusal {
+// Recheck implements Screener.
+func (s *Service) Recheck(request RequestDigests) *Refusal {
 	if !s.Active() {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, j := s.assess(subject)
-	if j.Verdict == Clear {
+	d, a := s.assess(request)
+	if a.Verdict == Clear {
 		return nil
 	}
-	return s.refusal(d, j, suspectRetryAfter)
+	return s.refusal(d, a, suspectRetryAfter)
 }
 
 // assess returns the most severe verdict on a request's digests; s.mu is held.
-func (s *Service) assess(subject Subject) (digest.Digest, Judgement) {
+func (s *Service) assess(request RequestDigests) (digest.Digest, Assessment) {
 	var worst digest.Digest
-	var j Judgement
+	var a Assessment
 	now := s.deps.Clock.Now()
-	for _, d := range subject.digests() {
-		if candidate := s.ledger.Judge(d, now); worst == (digest.Digest{}) || candidate.Verdict > j.Verdict {
-			worst, j = d, candidate
+	for _, d := range request.digests() {
+		if candidate := s.ledger.Assess(d, now); worst == (digest.Digest{}) || candidate.Verdict > a.Verdict {
+			worst, a = d, candidate
 		}
 	}
-	return worst, j
+	return worst, a
 }
 
 // suspectRetryAfter is the maximum Retry-After value for suspect requests.
 const suspectRetryAfter = 500 * time.Millisecond
 
 // refusal returns a rejection and counts it; s.mu is held.
-func (s *Service) refusal(d digest.Digest, j Judgement, retryAfter time.Duration) *Refusal {
-	s.stats.refused(j.Verdict).Inc()
-	r := &Refusal{Digest: d, Judgement: j}
-	if j.Verdict == Suspect {
+func (s *Service) refusal(d digest.Digest, a Assessment, retryAfter time.Duration) *Refusal {
+	s.stats.refused(a.Verdict).Inc()
+	r := &Refusal{Digest: d, Assessment: a}
+	if a.Verdict == Suspect {
 		r.RetryAfter = retryAfter
 	}
 	return r
--- a/internal/quarantine/spread.go
+++ b/internal/quarantine/spread.go
@@ -182,9 +182,9 @@
 	h := xxhash.New()
 	now := s.deps.Clock.Now()
 	for _, d := range s.ledger.Suspicious() {
-		j := s.ledger.Judge(d, now)
+		a := s.ledger.Assess(d, now)
 		_, _ = h.Write(d[:])
-		_, _ = h.Write(binary.BigEndian.AppendUint32(nil, uint32(j.Verdict)<<16|uint32(j.Crashes)<<8|uint32(j.Trials)))
+		_, _ = h.Write(binary.BigEndian.AppendUint32(nil, uint32(a.Verdict)<<16|uint32(a.Crashes)<<8|uint32(a.FailedTrials)))
 	}
 	return h.Sum64()
 }
