--- a/internal/e2e/memfleet_test.go
+++ b/internal/e2e/memfleet_test.go
@@ -149,7 +149,7 @@
 		Platform: settings.Platform{
 			URL: "http://10.2.0.1:1", TimeoutMS: 700,
 		},
-		Peers:       settings.Peers{Seeds: []string{"10.0.0.1:7620", "10.0.0.2:7620", "10.0.0.3:7620"}},
+		Peers:        settings.Peers{Seeds: []string{"10.0.0.1:7620", "10.0.0.2:7620", "10.0.0.3:7620"}},
 		RegionByZone: memPlaces,
 		Bounds: settings.Bounds{
 			StopGrace: 6 * time.Second, TargetDrain: memDrain, ConfigInForce: 2500 * time.Millisecond,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -32,7 +32,7 @@
 	// RegionByZone maps each availability zone to its region, for deployments whose
 	// configuration document does not list them.
 	RegionByZone map[string]string `json:"places,omitempty"`
-	Bounds      Bounds            `json:"bounds,omitzero"`
+	Bounds       Bounds            `json:"bounds,omitzero"`
 }
 
 // Bounds are the guarantees and requirements that the environment sets for the
