--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// CallError is the error of one call: which operation on which object at
-// which peer failed, with one of the typed errors as Code.
+// CallError is the error of a failed call. It names the operation, the object and the
+// peer, and wraps one of the typed errors.
 type CallError struct {
 	Op    Op
 	Kind  Kind
 	Name  string // empty for lists and watches
 	Peer  string // host:port of the platform
 	Code  error  // one of the typed errors of this package
-	Cause error  // what was seen, may be nil
+	Cause error  // underlying error; may be nil
 }
 
 // Error implements error.
@@ -33,7 +33,7 @@
 	return []error{e.Code, e.Cause}
 }
 
-// errorLabels gives the metrics label of each typed error.
+// errorLabels maps the typed errors to their metrics labels.
 var errorLabels = []struct {
 	code  error
 	label string
--- a/internal/platform/health.go
+++ b/internal/platform/health.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Health is how the platform answered lately.
+// Health describes the most recent successful and failed calls to the platform.
 type Health struct {
-	LastSuccess time.Time // of any call; zero: never
-	LastFailure time.Time // of a call that the platform did not serve; zero: never
+	LastSuccess time.Time // of any call; zero if there was none
+	LastFailure time.Time // of a call that the platform did not serve; zero if there was none
 	LastError   string
 }
 
-// HealthNote keeps the Health of a client. It is safe for concurrent use.
+// HealthNote tracks the Health of a client. It is safe for concurrent use.
 type HealthNote struct {
 	mu     sync.Mutex
 	health Health
 }
 
-// Note takes the end of a call. Answers that say not found or conflict are
-// successes: the platform served the call.
+// Note records the result of a call. ErrNotFound, ErrConflict and ErrTooLarge count as
+// success, because the platform served the call.
 func (n *HealthNote) Note(err error, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -32,7 +32,7 @@
 	n.health.LastError = err.Error()
 }
 
-// Read returns the Health so far.
+// Read returns the current Health.
 func (n *HealthNote) Read() Health {
 	n.mu.Lock()
 	defer n.mu.Unlock()
