--- a/internal/platform/platformtest/faults.go
+++ b/internal/platform/platformtest/faults.go
@@ -9,53 +9,52 @@
 	"masticturn/internal/platform"
 )
 
-// Call is one call to the store.
+// Call identifies a call to the store.
 type Call struct {
 	Op   platform.Op
 	Kind platform.Kind
 	Name string // empty for lists and watches
 }
 
-// Fault is what goes wrong with one call.
+// Fault is a fault injected into one call.
 type Fault int
 
-// The faults of one call. Reads know only FaultNone and FaultUnavailable; any
-// other fault makes a read unavailable.
+// Faults of a call. For reads, any fault other than FaultNone acts as FaultUnavailable.
 const (
 	FaultNone        Fault = iota
-	FaultUnavailable       // ErrUnavailable, no effect
-	FaultLostRequest       // ErrUnknownOutcome, no effect
-	FaultLostAnswer        // ErrUnknownOutcome, takes effect
-	FaultLateEffect        // ErrUnknownOutcome, takes effect at ReleaseLate
+	FaultUnavailable       // returns ErrUnavailable; no effect
+	FaultLostRequest       // returns ErrUnknownOutcome; no effect
+	FaultLostAnswer        // returns ErrUnknownOutcome; takes effect
+	FaultLateEffect        // returns ErrUnknownOutcome; takes effect at ReleaseLate
 )
 
-// Hook chooses the fault of a call. It may sleep to add latency; it is called
-// without locks held.
+// Hook selects the fault of a call. It is called without locks held, so it may sleep to
+// add latency.
 type Hook func(ctx context.Context, c Call) Fault
 
-// CountKey is what calls are counted by.
+// CountKey identifies a counter of calls.
 type CountKey struct {
 	Op   platform.Op
 	Kind platform.Kind
 }
 
-// SetHook sets the hook of all later calls; nil removes it.
+// SetHook sets the hook for all later calls; nil removes it.
 func (s *Store) SetHook(h Hook) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hook = h
 }
 
-// SetOutage makes all calls fail with ErrUnavailable, waiting watches too.
+// SetOutage makes all calls, including waiting watches, fail with ErrUnavailable.
 func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outage = on
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
-// Freeze makes reads and watches see the present state, however old it gets,
-// until Thaw. Writes are checked against the true state.
+// Freeze makes reads and watches return the current state until Thaw, regardless of later
+// writes. Conditions of writes are still checked against the latest state.
 func (s *Store) Freeze() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,19 +66,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.frozen = nil
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
-// Put stores an object as the platform itself does, under no fault and
-// uncounted.
+// Put stores an object as the platform itself would, without faults and without being
+// counted as a call.
 func (s *Store) Put(kind platform.Kind, name string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.live.put(kind, name, entry{value: slices.Clone(value)})
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
-// Peek returns an object as it is, under no fault and uncounted.
+// Peek returns the latest state of an object, without faults and without being counted
+// as a call.
 func (s *Store) Peek(kind platform.Kind, name string) (platform.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,45 +90,45 @@
 	return object(kind, name, e), nil
 }
 
-// Compact drops the history: watches from before now fail with ErrCompacted.
+// Compact drops the history, so that watches from earlier versions fail with ErrCompacted.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = s.live.version
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
-// Remove removes an object as the platform itself does.
+// Remove removes an object as the platform itself would.
 func (s *Store) Remove(kind platform.Kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.live.get(kind, name); ok {
 		s.live.put(kind, name, entry{deleted: true})
-		s.wakeLocked()
+		s.notifyLocked()
 	}
 }
 
-// ReleaseLate lets the writes of FaultLateEffect take effect, in their order,
-// each only if its condition still holds. It returns how many there were.
+// ReleaseLate applies the writes delayed by FaultLateEffect, in order, each only if its
+// condition still holds. It returns how many writes were delayed.
 func (s *Store) ReleaseLate() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	late := s.late
-	s.late = nil
-	for _, apply := range late {
+	delayed := s.delayed
+	s.delayed = nil
+	for _, apply := range delayed {
 		apply()
 	}
-	return len(late)
+	return len(delayed)
 }
 
-// Counts returns the calls so far by operation and kind, failed ones included.
+// Counts returns the number of calls by operation and kind, including failed calls.
 func (s *Store) Counts() map[CountKey]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.counts)
 }
 
-// Calls returns the number of calls of one operation over all kinds.
+// Calls returns the number of calls of an operation over all kinds.
 func (s *Store) Calls(op platform.Op) int {
 	n := 0
 	for key, count := range s.Counts() {
@@ -139,9 +139,9 @@
 	return n
 }
 
-// begin counts a call and returns the fault to apply, or the error of a call
-// that already failed.
-func (s *Store) begin(ctx context.Context, c Call) (Fault, error) {
+// startCall counts a call and returns its fault, or an error if the call fails before it
+// is executed.
+func (s *Store) startCall(ctx context.Context, c Call) (Fault, error) {
 	s.mu.Lock()
 	s.counts[CountKey{c.Op, c.Kind}]++
 	hook := s.hook
--- a/internal/platform/platformtest/store.go
+++ b/internal/platform/platformtest/store.go
@@ -1,4 +1,4 @@
-// Package platformtest is an in-memory platform with switchable faults, for
+// Package platformtest provides an in-memory platform.Store with fault injection, for
 // tests and for the stand-in server.
 package platformtest
 
@@ -13,24 +13,24 @@
 	"masticturn/internal/platform"
 )
 
-// defaultWatchTimeout is how long a watch without changes waits.
+// defaultWatchTimeout is how long a watch waits for changes by default.
 const defaultWatchTimeout = time.Second
 
-// Store is an in-memory platform.Store. Watches report the latest state of
-// each object changed since; a deleted object leaves a tombstone.
+// Store is an in-memory platform.Store. Watches report only the latest state of each
+// changed object. Deleted objects are kept as tombstones.
 type Store struct {
 	// WatchTimeout is how long a watch waits for changes. Set it before use.
 	WatchTimeout time.Duration
 
 	mu      sync.Mutex
 	live    state
-	frozen  *state        // what reads see instead of live, when set
-	changed chan struct{} // closed and replaced when a watch should look again
+	frozen  *state        // if set, returned by reads instead of live
+	changed chan struct{} // closed and replaced to make waiting watches check the state again
 	outage  bool
-	// compacted is the version before which watches find no history.
+	// compacted is the version before which no history is available.
 	compacted platform.Version
 	hook      Hook
-	late      []func() // writes to take effect at ReleaseLate
+	delayed   []func() // writes to be applied by ReleaseLate
 	counts    map[CountKey]int
 }
 
@@ -83,12 +83,12 @@
 
 // Get implements platform.Store.
 func (s *Store) Get(ctx context.Context, kind platform.Kind, name string) (platform.Object, error) {
-	if _, err := s.begin(ctx, Call{platform.OpGet, kind, name}); err != nil {
+	if _, err := s.startCall(ctx, Call{platform.OpGet, kind, name}); err != nil {
 		return platform.Object{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.readable().get(kind, name)
+	e, ok := s.readStateLocked().get(kind, name)
 	if !ok {
 		return platform.Object{}, platform.ErrNotFound
 	}
@@ -97,12 +97,12 @@
 
 // List implements platform.Store.
 func (s *Store) List(ctx context.Context, kind platform.Kind) ([]platform.Object, platform.Version, error) {
-	if _, err := s.begin(ctx, Call{platform.OpList, kind, ""}); err != nil {
+	if _, err := s.startCall(ctx, Call{platform.OpList, kind, ""}); err != nil {
 		return nil, 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := s.readable()
+	seen := s.readStateLocked()
 	objects := []platform.Object{}
 	for name, e := range seen.kinds[kind] {
 		if !e.deleted {
@@ -146,7 +146,7 @@
 
 // Watch implements platform.Store.
 func (s *Store) Watch(ctx context.Context, kind platform.Kind, since platform.Version) ([]platform.Event, platform.Version, error) {
-	if _, err := s.begin(ctx, Call{platform.OpWatch, kind, ""}); err != nil {
+	if _, err := s.startCall(ctx, Call{platform.OpWatch, kind, ""}); err != nil {
 		return nil, since, err
 	}
 	timer := time.NewTimer(s.WatchTimeout)
@@ -166,8 +166,8 @@
 	}
 }
 
-// poll returns the events after since, and the channel that signals further ones. The version never
-// falls below since.
+// poll returns the events after since, and a channel that is closed when the watch has to
+// check the state again. The returned version is at least since.
 func (s *Store) poll(kind platform.Kind, since platform.Version) ([]platform.Event, platform.Version, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +177,7 @@
 	if since < s.compacted {
 		return nil, since, nil, platform.ErrCompacted
 	}
-	seen := s.readable()
+	seen := s.readStateLocked()
 	var events []platform.Event
 	for name, e := range seen.kinds[kind] {
 		if e.version > since {
@@ -188,12 +188,12 @@
 	return events, max(since, seen.version), s.changed, nil
 }
 
-// write runs a write under the faults that the hook chose for it.
+// write executes a write with the fault selected by the hook.
 func (s *Store) write(ctx context.Context, c Call, apply func() (platform.Version, error), value []byte) (platform.Version, error) {
 	if len(value) > platform.MaxValueBytes {
 		return 0, platform.ErrTooLarge
 	}
-	fault, err := s.begin(ctx, c)
+	fault, err := s.startCall(ctx, c)
 	if err != nil {
 		return 0, err
 	}
@@ -203,7 +203,7 @@
 	case FaultLostRequest:
 		return 0, platform.ErrUnknownOutcome
 	case FaultLateEffect:
-		s.late = append(s.late, func() { s.applyLocked(apply) })
+		s.delayed = append(s.delayed, func() { s.applyLocked(apply) })
 		return 0, platform.ErrUnknownOutcome
 	}
 	version, err := s.applyLocked(apply)
@@ -216,18 +216,18 @@
 func (s *Store) applyLocked(apply func() (platform.Version, error)) (platform.Version, error) {
 	version, err := apply()
 	if err == nil {
-		s.wakeLocked()
+		s.notifyLocked()
 	}
 	return version, err
 }
 
-func (s *Store) wakeLocked() {
+func (s *Store) notifyLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// readable returns what reads see; s.mu is held.
-func (s *Store) readable() *state {
+// readStateLocked returns the state that reads and watches see.
+func (s *Store) readStateLocked() *state {
 	if s.frozen != nil {
 		return s.frozen
 	}
--- a/internal/platform/platformtest/store_test.go
+++ b/internal/platform/platformtest/store_test.go
@@ -12,23 +12,23 @@
 
 const kind = platform.KindConfig
 
-func TestLateEffectChecksItsCondition(t *testing.T) {
+func TestDelayedWriteChecksItsCondition(t *testing.T) {
 	ctx := context.Background()
 	s := NewStore()
 	v, _ := s.Create(ctx, kind, "doc", []byte("1"))
 	s.SetHook(func(context.Context, Call) Fault { return FaultLateEffect })
 	if _, err := s.Update(ctx, kind, "doc", []byte("late"), v); !errors.Is(err, platform.ErrUnknownOutcome) {
-		t.Fatalf("late update: %v", err)
+		t.Fatalf("delayed update: error = %v, want ErrUnknownOutcome", err)
 	}
 	s.SetHook(nil)
 	if _, err := s.Update(ctx, kind, "doc", []byte("2"), v); err != nil {
 		t.Fatal(err)
 	}
 	if n := s.ReleaseLate(); n != 1 {
-		t.Fatalf("released %d writes", n)
+		t.Fatalf("released %d writes, want 1", n)
 	}
 	if o, _ := s.Get(ctx, kind, "doc"); string(o.Value) != "2" {
-		t.Fatalf("the late write won over its condition: %s", o.Value)
+		t.Fatalf("the delayed write was applied although its condition failed: value %s", o.Value)
 	}
 }
 
@@ -65,14 +65,14 @@
 		start := time.Now()
 		events, next, err := s.Watch(ctx, kind, 0)
 		if err != nil || len(events) != 1 || next != 1 || time.Since(start) != 300*time.Millisecond {
-			t.Fatalf("watch: %v, %d, %v after %v", events, next, err, time.Since(start))
+			t.Fatalf("watch returned %v, version %d, error %v after %v", events, next, err, time.Since(start))
 		}
 		go func() {
 			time.Sleep(100 * time.Millisecond)
 			s.SetOutage(true)
 		}()
 		if _, _, err := s.Watch(ctx, kind, next); !errors.Is(err, platform.ErrUnavailable) {
-			t.Fatalf("watch in an outage: %v", err)
+			t.Fatalf("watch during an outage: error = %v, want ErrUnavailable", err)
 		}
 	})
 }
