--- a/internal/bench/configfaults.go
+++ b/internal/bench/configfaults.go
@@ -27,7 +27,7 @@
 	{name: "refuses", mode: storestandin.Refuse, lasts: 1500 * time.Millisecond},
 	{name: "deaf", deaf: true, lasts: 3 * time.Second},
 	{name: "silent", mode: storestandin.Silent, lasts: 1500 * time.Millisecond},
-	{name: "cuts", mode: storestandin.Cut, lasts: 1500 * time.Millisecond},
+	{name: "cuts", mode: storestandin.Disconnect, lasts: 1500 * time.Millisecond},
 }
 
 // Chances and times of the faults.
@@ -75,7 +75,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if call.Op.Writes() {
+	if call.Op.IsWrite() {
 		return c.writeFault()
 	}
 	if c.deaf && (call.Op == platform.OpWatch || c.random.Float64() < configDeafRead) {
@@ -90,7 +90,7 @@
 	switch {
 	case chance < configLostAnswer:
 		c.lost++
-		return platformtest.FaultLostAnswer
+		return platformtest.FaultLostResponse
 	case chance < configLostAnswer+configLostRequest:
 		c.lost++
 		return platformtest.FaultLostRequest
--- a/internal/bench/faultrun.go
+++ b/internal/bench/faultrun.go
@@ -236,9 +236,9 @@
 	c.Store.SetOutage(false)
 	c.Platform.SetMode(storestandin.Normal)
 	c.Store.SetHook(nil)
-	c.Store.ReleaseLate()
+	c.Store.ReleaseDelayed()
 	c.Platform.SetLatency(0)
-	c.Store.Thaw()
+	c.Store.Unfreeze()
 	c.Note(cluster.StoreUp, "", "", string(f.kind))
 	j.count(f.kind, nil)
 }
@@ -248,11 +248,11 @@
 func (j *injector) loseWrites(f plannedFault) platformtest.Hook {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(j.seed, uint64(f.first)))
-	lost := []platformtest.Fault{platformtest.FaultLostRequest, platformtest.FaultLostAnswer, platformtest.FaultLateEffect}
+	lost := []platformtest.Fault{platformtest.FaultLostRequest, platformtest.FaultLostResponse, platformtest.FaultDelayedEffect}
 	return func(_ context.Context, c platformtest.Call) platformtest.Fault {
 		mu.Lock()
 		defer mu.Unlock()
-		if !c.Op.Writes() || random.Float64() > lossShare {
+		if !c.Op.IsWrite() || random.Float64() > lossShare {
 			return platformtest.FaultNone
 		}
 		return lost[random.IntN(len(lost))]
--- a/internal/command/losses.go
+++ b/internal/command/losses.go
@@ -81,9 +81,9 @@
 	lost, owed := report.Lost(worth)
 	fmt.Fprintf(w, "\ncallers: %.0f worth owed, %.0f lost (%.4f); explained by the logs %.0f (%.4f); not in the logs %.0f (%.4f)\n",
 		owed, lost, lost/owed, table.Lost(), table.Lost()/owed, lost-table.Lost(), (lost-table.Lost())/owed)
-	for _, u := range report.Unexplained(table, owed) {
+	for _, u := range report.UnexplainedLosses(table, owed) {
 		if u.Worth >= unexplainedLeast*owed {
-			fmt.Fprintf(w, "  asked from second %s on: about %.0f not in the logs; %d of %d failed, %d were refused\n", u.Name, u.Worth, u.Failed, u.Asked, u.Refused)
+			fmt.Fprintf(w, "  asked from second %s on: about %.0f not in the logs; %d of %d failed, %d were refused\n", u.Name, u.Worth, u.Failed, u.Requests, u.Refused)
 		}
 	}
 	for _, p := range report.Prices {
--- a/internal/config/repository/faults_apply_test.go
+++ b/internal/config/repository/faults_apply_test.go
@@ -41,13 +41,13 @@
 		{"delay", []strike{{wait: time.Second}}, false},
 		{"delay, another document", []strike{{wait: time.Second, rival: true}}, false},
 		{"silent, lost", []strike{{wait: callTimeout, fault: platformtest.FaultLostRequest}}, false},
-		{"silent, done", []strike{{wait: callTimeout, fault: platformtest.FaultLostAnswer}}, false},
+		{"silent, done", []strike{{wait: callTimeout, fault: platformtest.FaultLostResponse}}, false},
 		{"lost request", []strike{{fault: platformtest.FaultLostRequest}}, false},
-		{"lost answer", []strike{{fault: platformtest.FaultLostAnswer}}, false},
-		{"late and doubled", []strike{{fault: platformtest.FaultLateEffect}}, false},
+		{"lost answer", []strike{{fault: platformtest.FaultLostResponse}}, false},
+		{"late and doubled", []strike{{fault: platformtest.FaultDelayedEffect}}, false},
 		{"outage", []strike{{fault: platformtest.FaultUnavailable}, {fault: platformtest.FaultUnavailable}}, false},
-		{"lost answer, then another document", []strike{{fault: platformtest.FaultLostAnswer}, {rival: true}}, false},
-		{"late, then another document", []strike{{fault: platformtest.FaultLateEffect}, {rival: true}}, false},
+		{"lost answer, then another document", []strike{{fault: platformtest.FaultLostResponse}, {rival: true}}, false},
+		{"late, then another document", []strike{{fault: platformtest.FaultDelayedEffect}, {rival: true}}, false},
 		{"crash", []strike{{}}, true},
 	}
 }
@@ -95,7 +95,7 @@
 	a.wrote = a.wrote || step == StepWrite
 	if !ok || step != a.step {
 		if first && a.step == StepReread {
-			return platformtest.FaultLostAnswer // there is no reread without it
+			return platformtest.FaultLostResponse // there is no reread without it
 		}
 		return platformtest.FaultNone
 	}
@@ -128,7 +128,7 @@
 	a.store.SetHook(a.hook)
 	_, err := a.Apply(context.WithValue(context.Background(), oursKey{}, true), Proposal{Document: ours, Base: 1, Comment: "ours"})
 	a.store.SetHook(nil)
-	a.store.ReleaseLate()
+	a.store.ReleaseDelayed()
 	a.judge(err)
 	a.mustGoOn()
 }
--- a/internal/config/repository/race_test.go
+++ b/internal/config/repository/race_test.go
@@ -67,7 +67,7 @@
 			case <-stop:
 				return
 			case <-time.After(raceLateEach):
-				r.store.ReleaseLate()
+				r.store.ReleaseDelayed()
 			}
 		}
 	}()
@@ -80,7 +80,7 @@
 	close(stop)
 	time.Sleep(raceLateEach)
 	r.store.SetHook(nil)
-	r.store.ReleaseLate()
+	r.store.ReleaseDelayed()
 	return r.judge(v)
 }
 
@@ -88,7 +88,7 @@
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 1))
 	faults := []platformtest.Fault{
-		platformtest.FaultUnavailable, platformtest.FaultLostRequest, platformtest.FaultLostAnswer, platformtest.FaultLateEffect,
+		platformtest.FaultUnavailable, platformtest.FaultLostRequest, platformtest.FaultLostResponse, platformtest.FaultDelayedEffect,
 	}
 	return func(_ context.Context, c platformtest.Call) platformtest.Fault {
 		mu.Lock()
--- a/internal/config/repository/repository_test.go
+++ b/internal/config/repository/repository_test.go
@@ -153,7 +153,7 @@
 	const (
 		refused     = platformtest.FaultUnavailable
 		lostRequest = platformtest.FaultLostRequest
-		lostAnswer  = platformtest.FaultLostAnswer
+		lostAnswer  = platformtest.FaultLostResponse
 	)
 	tests := []struct {
 		name   string
@@ -218,7 +218,7 @@
 				r.mustApply(0, 1000)
 				r.store.SetHook(func(_ context.Context, c platformtest.Call) platformtest.Fault {
 					if c.Op == platform.OpUpdate {
-						return platformtest.FaultLateEffect
+						return platformtest.FaultDelayedEffect
 					}
 					return platformtest.FaultNone
 				})
@@ -229,7 +229,7 @@
 				}
 				r.store.SetHook(nil)
 				tt.between(r)
-				if r.store.ReleaseLate() < 2 {
+				if r.store.ReleaseDelayed() < 2 {
 					t.Error("the write in doubt was not sent again")
 				}
 				if gen, age := r.current(); gen != tt.gen || age != tt.age {
@@ -250,7 +250,7 @@
 		r.store.SetHook(func(_ context.Context, c platformtest.Call) platformtest.Fault {
 			switch {
 			case c.Op == platform.OpUpdate && !superseded:
-				return platformtest.FaultLostAnswer
+				return platformtest.FaultLostResponse
 			case c.Op == platform.OpGet && r.store.Calls(platform.OpUpdate) == 1 && !superseded:
 				superseded = true
 				r.mustApply(2, 3000)
@@ -273,7 +273,7 @@
 			r.mustApply(0, 1000)
 			r.store.Freeze()
 			r.mustApply(1, 2000)
-			time.AfterFunc(time.Second, r.store.Thaw)
+			time.AfterFunc(time.Second, r.store.Unfreeze)
 			if a := r.mustApply(2, 3000); a.Record.Generation != 3 {
 				t.Errorf("got generation %d", a.Record.Generation)
 			}
@@ -284,8 +284,8 @@
 			r := newRig(t)
 			r.mustApply(0, 1000)
 			r.store.Freeze()
-			r.store.SetHook(headFaults(platform.OpUpdate, platformtest.FaultLostAnswer))
-			time.AfterFunc(time.Second, r.store.Thaw)
+			r.store.SetHook(headFaults(platform.OpUpdate, platformtest.FaultLostResponse))
+			time.AfterFunc(time.Second, r.store.Unfreeze)
 			if a := r.mustApply(1, 2000); a.Record.Generation != 2 {
 				t.Errorf("got generation %d", a.Record.Generation)
 			}
@@ -408,7 +408,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.AfterFunc(time.Second, r.store.Thaw)
+		time.AfterFunc(time.Second, r.store.Unfreeze)
 		many.Lookup.MaxAgeMS = 3000
 		third, err := r.Apply(context.Background(), Proposal{Document: many, Base: 2, InForce: snap})
 		if err != nil {
--- a/internal/confsync/matrix_test.go
+++ b/internal/confsync/matrix_test.go
@@ -101,7 +101,7 @@
 	switch fault {
 	case "stale read":
 		f.store.Freeze()
-		time.AfterFunc(faultLasts, f.store.Thaw)
+		time.AfterFunc(faultLasts, f.store.Unfreeze)
 		return
 	case "store outage":
 		f.store.SetOutage(true)
@@ -130,7 +130,7 @@
 	case "lost request":
 		return platformtest.FaultLostRequest
 	case "lost answer", "duplicate": // the write is sent again after both
-		return platformtest.FaultLostAnswer
+		return platformtest.FaultLostResponse
 	case "delay":
 		time.Sleep(faultLasts)
 	case "silent connection":
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -47,7 +47,7 @@
 			letRun()
 			procs.signal(t, c.VMs[0].Host.Name, syscall.SIGCONT)
 		}},
-		{"platform goes down", func(*testing.T) { c.Platform.SetMode(storestandin.Cut) }},
+		{"platform goes down", func(*testing.T) { c.Platform.SetMode(storestandin.Disconnect) }},
 		{"drain", func(t *testing.T) { must(t, c.VMs[1].Drain(t.Context())) }},
 		{"kill", func(*testing.T) { c.VMs[2].Kill() }},
 		{"start again without the platform", func(t *testing.T) { startVM(t, c.VMs[2]) }},
--- a/internal/idempotency/faults_claim_test.go
+++ b/internal/idempotency/faults_claim_test.go
@@ -153,7 +153,7 @@
 					_, _ = f.do(k, key(nil), "x", outcome.Answered)
 					time.Sleep(time.Minute)
 				}
-				f.store.Thaw()
+				f.store.Unfreeze()
 				f.wantRuns(b, 1)
 			})
 		})
@@ -166,7 +166,7 @@
 func TestSilentPlatformMeansNoSecondRun(t *testing.T) {
 	const clientWaits = 3 * time.Second
 	for step, op := range opOf {
-		for _, fault := range []platformtest.Fault{platformtest.FaultLostRequest, platformtest.FaultLostAnswer, platformtest.FaultLateEffect} {
+		for _, fault := range []platformtest.Fault{platformtest.FaultLostRequest, platformtest.FaultLostResponse, platformtest.FaultDelayedEffect} {
 			t.Run(fmt.Sprintf("%s/%d", step, fault), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f, a, b := released(t)
@@ -184,7 +184,7 @@
 					}
 					_, _ = f.do(b, key(nil), "x", outcome.Answered)
 					time.Sleep(time.Minute)
-					f.store.ReleaseLate()
+					f.store.ReleaseDelayed()
 					for range 3 {
 						_, _ = f.do(b, key(nil), "x", outcome.Answered)
 						time.Sleep(time.Minute)
--- a/internal/idempotency/keys_test.go
+++ b/internal/idempotency/keys_test.go
@@ -270,7 +270,7 @@
 func TestPlatformFaultsAtEveryWriteOfAClaim(t *testing.T) {
 	faults := map[string]platformtest.Fault{
 		"unavailable": platformtest.FaultUnavailable, "lost request": platformtest.FaultLostRequest,
-		"lost answer": platformtest.FaultLostAnswer, "late effect": platformtest.FaultLateEffect,
+		"lost answer": platformtest.FaultLostResponse, "late effect": platformtest.FaultDelayedEffect,
 	}
 	for name, fault := range faults {
 		for _, write := range []platform.Op{platform.OpCreate, platform.OpUpdate} {
@@ -296,7 +296,7 @@
 	})
 	_, _ = f.do(a, key(nil), "x", first)
 	time.Sleep(time.Minute)
-	f.store.ReleaseLate()
+	f.store.ReleaseDelayed()
 	time.Sleep(time.Minute)
 	answered := false
 	for range 6 {
@@ -304,7 +304,7 @@
 			got, err := f.do(k, key(nil), "x", outcome.Answered)
 			answered = answered || got != "" && err == nil
 			time.Sleep(time.Minute)
-			f.store.ReleaseLate()
+			f.store.ReleaseDelayed()
 		}
 	}
 	if f.runs[key(nil)] > 1 {
@@ -344,7 +344,7 @@
 					k := vms[i]
 					mu.Unlock()
 					_, _ = f.do(k, key, "x", outcome.Outcome(roll(3)))
-					f.store.ReleaseLate()
+					f.store.ReleaseDelayed()
 				})
 			}
 			wg.Wait()
--- a/internal/operator/client/client_test.go
+++ b/internal/operator/client/client_test.go
@@ -195,7 +195,7 @@
 	r := newRig(t)
 	r.store.SetHook(func(_ context.Context, c platformtest.Call) platformtest.Fault {
 		if c.Op == platform.OpCreate {
-			return platformtest.FaultLateEffect
+			return platformtest.FaultDelayedEffect
 		}
 		return platformtest.FaultNone
 	})
--- a/internal/platform/health.go
+++ b/internal/platform/health.go
@@ -13,28 +13,28 @@
 	LastError   string
 }
 
-// HealthNote tracks the Health of a client. It is safe for concurrent use.
-type HealthNote struct {
+// HealthTracker tracks the Health of a client. It is safe for concurrent use.
+type HealthTracker struct {
 	mu     sync.Mutex
 	health Health
 }
 
-// Note records the result of a call. ErrNotFound, ErrConflict and ErrTooLarge count as
+// Record records the result of a call. ErrNotFound, ErrConflict and ErrTooLarge count as
 // success, because the platform served the call.
-func (n *HealthNote) Note(err error, now time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (t *HealthTracker) Record(err error, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if err == nil || errors.Is(err, ErrNotFound) || errors.Is(err, ErrConflict) || errors.Is(err, ErrTooLarge) {
-		n.health.LastSuccess = now
+		t.health.LastSuccess = now
 		return
 	}
-	n.health.LastFailure = now
-	n.health.LastError = err.Error()
+	t.health.LastFailure = now
+	t.health.LastError = err.Error()
 }
 
 // Read returns the current Health.
-func (n *HealthNote) Read() Health {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.health
+func (t *HealthTracker) Read() Health {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.health
 }
--- a/internal/platform/op.go
+++ b/internal/platform/op.go
@@ -13,7 +13,7 @@
 	OpWatch  Op = "watch"
 )
 
-// Writes reports whether the operation changes an object.
-func (o Op) Writes() bool {
+// IsWrite reports whether the operation changes an object.
+func (o Op) IsWrite() bool {
 	return o == OpCreate || o == OpUpdate || o == OpDelete
 }
--- a/internal/platform/platformtest/faults.go
+++ b/internal/platform/platformtest/faults.go
@@ -21,11 +21,11 @@
 
 // Faults of a call. For reads, any fault other than FaultNone acts as FaultUnavailable.
 const (
-	FaultNone        Fault = iota
-	FaultUnavailable       // returns ErrUnavailable; no effect
-	FaultLostRequest       // returns ErrUnknownOutcome; no effect
-	FaultLostAnswer        // returns ErrUnknownOutcome; takes effect
-	FaultLateEffect        // returns ErrUnknownOutcome; takes effect at ReleaseLate
+	FaultNone          Fault = iota
+	FaultUnavailable         // returns ErrUnavailable; no effect
+	FaultLostRequest         // returns ErrUnknownOutcome; no effect
+	FaultLostResponse        // returns ErrUnknownOutcome; takes effect
+	FaultDelayedEffect       // returns ErrUnknownOutcome; takes effect at ReleaseDelayed
 )
 
 // Hook selects the fault of a call. It is called without locks held, so it may sleep to
@@ -53,16 +53,16 @@
 	s.notifyLocked()
 }
 
-// Freeze makes reads and watches return the current state until Thaw, regardless of later
-// writes. Conditions of writes are still checked against the latest state.
+// Freeze makes reads and watches return the current state until Unfreeze, regardless of
+// later writes. Conditions of writes are still checked against the latest state.
 func (s *Store) Freeze() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.frozen = s.live.clone()
 }
 
-// Thaw ends Freeze.
-func (s *Store) Thaw() {
+// Unfreeze ends Freeze.
+func (s *Store) Unfreeze() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.frozen = nil
@@ -108,9 +108,9 @@
 	}
 }
 
-// ReleaseLate applies the writes delayed by FaultLateEffect, in order, each only if its
-// condition still holds. It returns how many writes were delayed.
-func (s *Store) ReleaseLate() int {
+// ReleaseDelayed applies the writes delayed by FaultDelayedEffect, in order, each only if
+// its condition still holds. It returns how many writes were delayed.
+func (s *Store) ReleaseDelayed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delayed := s.delayed
@@ -156,7 +156,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.outage || fault == FaultUnavailable || (fault != FaultNone && !c.Op.Writes()) {
+	if s.outage || fault == FaultUnavailable || (fault != FaultNone && !c.Op.IsWrite()) {
 		return fault, platform.ErrUnavailable
 	}
 	return fault, nil
--- a/internal/platform/platformtest/store.go
+++ b/internal/platform/platformtest/store.go
@@ -30,7 +30,7 @@
 	// compacted is the version before which no history is available.
 	compacted platform.Version
 	hook      Hook
-	delayed   []func() // writes to be applied by ReleaseLate
+	delayed   []func() // writes to be applied by ReleaseDelayed
 	counts    map[CountKey]int
 }
 
@@ -202,12 +202,12 @@
 	switch fault {
 	case FaultLostRequest:
 		return 0, platform.ErrUnknownOutcome
-	case FaultLateEffect:
+	case FaultDelayedEffect:
 		s.delayed = append(s.delayed, func() { s.applyLocked(apply) })
 		return 0, platform.ErrUnknownOutcome
 	}
 	version, err := s.applyLocked(apply)
-	if fault == FaultLostAnswer {
+	if fault == FaultLostResponse {
 		return 0, platform.ErrUnknownOutcome
 	}
 	return version, err
--- a/internal/platform/platformtest/store_test.go
+++ b/internal/platform/platformtest/store_test.go
@@ -16,7 +16,7 @@
 	ctx := context.Background()
 	s := NewStore()
 	v, _ := s.Create(ctx, kind, "doc", []byte("1"))
-	s.SetHook(func(context.Context, Call) Fault { return FaultLateEffect })
+	s.SetHook(func(context.Context, Call) Fault { return FaultDelayedEffect })
 	if _, err := s.Update(ctx, kind, "doc", []byte("late"), v); !errors.Is(err, platform.ErrUnknownOutcome) {
 		t.Fatalf("delayed update: error = %v, want ErrUnknownOutcome", err)
 	}
@@ -24,7 +24,7 @@
 	if _, err := s.Update(ctx, kind, "doc", []byte("2"), v); err != nil {
 		t.Fatal(err)
 	}
-	if n := s.ReleaseLate(); n != 1 {
+	if n := s.ReleaseDelayed(); n != 1 {
 		t.Fatalf("released %d writes, want 1", n)
 	}
 	if o, _ := s.Get(ctx, kind, "doc"); string(o.Value) != "2" {
@@ -48,7 +48,7 @@
 	if events, next, _ := s.Watch(ctx, kind, v); len(events) != 0 || next != v {
 		t.Fatalf("frozen watch saw %v, next %d", events, next)
 	}
-	s.Thaw()
+	s.Unfreeze()
 	if o, _ := s.Get(ctx, kind, "doc"); o.Version != v2 {
 		t.Fatalf("read after thaw saw version %d", o.Version)
 	}
--- a/internal/ratelimit/faults_test.go
+++ b/internal/ratelimit/faults_test.go
@@ -128,9 +128,9 @@
 		defer mu.Unlock()
 		switch storeFaults.IntN(20) {
 		case 0:
-			return platformtest.FaultLostAnswer
+			return platformtest.FaultLostResponse
 		case 1:
-			return platformtest.FaultLateEffect
+			return platformtest.FaultDelayedEffect
 		case 2:
 			return platformtest.FaultLostRequest
 		}
@@ -178,7 +178,7 @@
 	case 4, 5:
 		f.hub.Heal()
 	case 6:
-		f.store.ReleaseLate()
+		f.store.ReleaseDelayed()
 	case 7:
 		f.hub.Pause(vm.name)
 	case 8:
