--- a/internal/targetconn/ahead_test.go
+++ b/internal/targetconn/ahead_test.go
@@ -8,67 +8,67 @@
 	"masticturn/internal/kernel"
 )
 
-// A connection that was opened ahead carries the next request, for as long as the
-// target says that it keeps idle ones.
+// The next request uses a connection that was opened ahead. None is opened while
+// another is open, or beyond half of the limit.
 func TestOpenAhead(t *testing.T) {
 	p := newPools(t)
-	target := wholeTarget(t)
-	for _, want := range []bool{true, false} { // none is opened while one is idle
+	target := soundTarget(t)
+	for _, want := range []bool{true, false} { // none is opened while another is idle
 		if opened, err := p.OpenAhead(t.Context(), target, 4); err != nil || opened != want {
-			t.Fatalf("opened ahead: %v, %v; want %v", opened, err, want)
+			t.Fatalf("OpenAhead = %v, %v; want %v", opened, err, want)
 		}
 	}
 	c := get(t, p, target, 4, UseAny)
 	if !c.reused || c.OpenedIn() != 0 {
-		t.Error("the request opened a connection although one was open")
+		t.Error("the request did not reuse the connection opened ahead")
 	}
 	if opened, err := p.OpenAhead(t.Context(), target, 4); err != nil || opened {
-		t.Errorf("opened ahead beside one in use: %v, %v", opened, err)
+		t.Errorf("OpenAhead with a connection in use = %v, %v; want false", opened, err)
 	}
 	if !p.HasOpen(target) {
-		t.Error("a connection in use does not count")
+		t.Error("HasOpen is false although a connection is in use")
 	}
 	c.Drop()
 	if p.HasOpen(target) {
-		t.Error("a connection that was dropped counts")
+		t.Error("HasOpen is true although the connection was dropped")
 	}
 	if opened, err := p.OpenAhead(t.Context(), target, 1); err != nil || opened {
-		t.Errorf("opened ahead, %v, %v, where the limit leaves no room for a request", opened, err)
+		t.Errorf("OpenAhead with a limit of 1 = %v, %v; want false", opened, err)
 	}
 }
 
-// Where no target listens nothing is kept.
+// A failed attempt to open a connection leaves nothing in the pool.
 func TestOpenAheadFails(t *testing.T) {
 	p := newPools(t)
 	target := rawTarget(t, func(int, net.Conn) {})
 	target.Address = "127.0.0.1:1"
 	if opened, err := p.OpenAhead(t.Context(), target, 4); err == nil || opened {
-		t.Errorf("opened %v, %v", opened, err)
+		t.Errorf("OpenAhead = %v, %v; want an error", opened, err)
 	}
 	if p.HasOpen(target) {
-		t.Error("a connection that was never open counts")
+		t.Error("HasOpen is true although no connection was opened")
 	}
 }
 
 func TestKeptLimit(t *testing.T) {
 	for keeps, want := range map[time.Duration]time.Duration{
-		0:                IdleLimit, // not said
-		3 * time.Second:  IdleLimit,
+		0:                defaultIdleLimit, // not announced
+		3 * time.Second:  defaultIdleLimit,
 		10 * time.Second: 9 * time.Second,
-		time.Hour:        keptMost,
+		time.Hour:        maxIdleLimit,
 	} {
 		if got := KeptLimit(keeps); got != want {
-			t.Errorf("targets keep %v: used for %v, want %v", keeps, got, want)
+			t.Errorf("keep-alive timeout %v: idle limit %v, want %v", keeps, got, want)
 		}
 	}
 }
 
-// An idle connection is kept as long as the target keeps it.
-func TestIdleForAsLongAsTheTargetKeeps(t *testing.T) {
-	for keeps, want := range map[time.Duration]time.Duration{0: IdleLimit, 10 * time.Second: 9 * time.Second} {
-		p := &pool{targetKeeps: keeps}
-		if got := p.idleLimit(); got != want {
-			t.Errorf("the target keeps %v: idle for %v at most, want %v", keeps, got, want)
+// The idle limit of a pool follows the keep-alive timeout that its target announced.
+func TestIdleLimitFollowsKeepAliveTimeout(t *testing.T) {
+	for keeps, want := range map[time.Duration]time.Duration{0: defaultIdleLimit, 10 * time.Second: 9 * time.Second} {
+		p := &pool{keepAliveTimeout: keeps}
+		if got := p.idleLimitLocked(); got != want {
+			t.Errorf("keep-alive timeout %v: idle limit %v, want %v", keeps, got, want)
 		}
 	}
 }
@@ -76,79 +76,81 @@
 func TestAheadBudget(t *testing.T) {
 	var b AheadBudget
 	if b.Spend() {
-		t.Error("a budget without requests had one to spend")
+		t.Error("an empty budget allowed a connection")
 	}
 	b.Earn()
 	for i := range aheadPerRequest + 1 {
 		if got, want := b.Spend(), i < aheadPerRequest; got != want {
-			t.Errorf("connection %d after one request: %v, want %v", i, got, want)
+			t.Errorf("connection %d after one request: allowed %v, want %v", i, got, want)
 		}
 	}
-	for range 2 * aheadBurst {
+	for range 2 * maxAheadBudget {
 		b.Earn()
 	}
 	n := 0
 	for b.Spend() {
 		n++
 	}
-	if n != aheadBurst {
-		t.Errorf("%d were saved up, want %d", n, aheadBurst)
+	if n != maxAheadBudget {
+		t.Errorf("the budget allowed %d connections, want %d", n, maxAheadBudget)
 	}
 }
 
-// makeStale makes many connections stale after they were idle for so long.
-func makeStale(s *staleness, idle time.Duration, now time.Time) {
+// recordManyStale records enough stale connections to reduce the idle limit. Each was idle for the given
+// time.
+func recordManyStale(s *staleness, idle time.Duration, now time.Time) {
 	for range 3 {
-		s.note(idle, now)
+		s.recordStale(idle, now)
 	}
 }
 
-// After stale connections shorter and shorter idle times are trusted, and after a
-// while the usual ones again.
-func TestStaleConnectionsShortenIdleTimes(t *testing.T) {
+// Stale connections reduce the idle limit, as given by the shortest of their idle
+// times. After reducedLimitTime the usual limit applies again.
+func TestStaleConnectionsReduceIdleLimit(t *testing.T) {
 	var s staleness
 	now := time.Unix(1000, 0)
-	if got := s.bound(IdleLimit, now); got != IdleLimit {
-		t.Errorf("none was stale, and idle times of %v count", got)
+	if got := s.limitIdleTime(defaultIdleLimit, now); got != defaultIdleLimit {
+		t.Errorf("idle limit %v without stale connections", got)
 	}
-	makeStale(&s, 2*time.Second, now)
-	s.note(8*time.Second, now) // of another target, which keeps longer
-	if got := s.bound(IdleLimit, now); got != 500*time.Millisecond {
-		t.Errorf("idle times of %v count, want a quarter of the shortest", got)
+	recordManyStale(&s, 2*time.Second, now)
+	s.recordStale(8*time.Second, now) // of a target with a longer timeout
+	if got := s.limitIdleTime(defaultIdleLimit, now); got != 500*time.Millisecond {
+		t.Errorf("idle limit %v, want a quarter of the shortest idle time", got)
 	}
-	if got := s.bound(100*time.Millisecond, now); got != 100*time.Millisecond {
-		t.Errorf("a limit of 100 ms became %v", got)
+	if got := s.limitIdleTime(100*time.Millisecond, now); got != 100*time.Millisecond {
+		t.Errorf("a limit of 100 ms was changed to %v", got)
 	}
-	if got := s.bound(IdleLimit, now.Add(staleFor)); got != IdleLimit {
-		t.Errorf("idle times of %v count after %v, want %v", got, staleFor, IdleLimit)
+	if got := s.limitIdleTime(defaultIdleLimit, now.Add(reducedLimitTime)); got != defaultIdleLimit {
+		t.Errorf("idle limit %v after %v, want %v", got, reducedLimitTime, defaultIdleLimit)
 	}
 }
 
-// A few stale connections among many others, such as those of targets whose
-// addresses others have got, change nothing.
+// A small share of stale connections does not reduce the idle limit. It may be
+// caused by targets whose addresses were reassigned.
 func TestFewStaleConnectionsChangeNothing(t *testing.T) {
 	var s staleness
 	now := time.Unix(1000, 0)
 	for i := range 300 {
 		if i%15 == 0 {
-			s.note(time.Second, now)
+			s.recordStale(time.Second, now)
 		} else {
-			s.recordUse()
+			s.recordUsable()
 		}
-		if got := s.bound(IdleLimit, now); got != IdleLimit {
-			t.Fatalf("idle times of %v count after %d uses, one in 15 stale", got, i+1)
+		if got := s.limitIdleTime(defaultIdleLimit, now); got != defaultIdleLimit {
+			t.Fatalf("idle limit %v after %d uses, one in 15 stale", got, i+1)
 		}
 	}
-	for range 20 { // half of the targets
-		s.note(time.Second, now)
-		s.recordUse()
+	for range 20 { // half of the uses are stale
+		s.recordStale(time.Second, now)
+		s.recordUsable()
 	}
-	if got := s.bound(IdleLimit, now); got == IdleLimit {
-		t.Error("the usual idle times count although half of the connections were stale")
+	if got := s.limitIdleTime(defaultIdleLimit, now); got == defaultIdleLimit {
+		t.Error("the idle limit is not reduced although half of the connections were stale")
 	}
 }
 
-// A reset that comes too soon for a run is of a stale connection, a later one of a failed target.
+// A reset that arrives too soon for the target to have run the request means a stale connection. A later
+// one means that the target failed.
 func TestStale(t *testing.T) {
 	const trip = 70 * time.Millisecond
 	tests := []struct {
@@ -158,40 +160,40 @@
 		after  time.Duration
 		want   bool
 	}{
-		{"an idle connection, at once", true, time.Second, trip, true},
-		{"an idle connection, after a short run", true, time.Second, trip + 72*time.Millisecond, false},
-		{"an idle connection, after a long run", true, time.Second, 400 * time.Millisecond, false},
-		{"a connection that was in use just now", true, 100 * time.Millisecond, trip, false},
-		{"a fresh connection", false, 0, trip, false},
+		{"idle connection, immediate reset", true, time.Second, trip, true},
+		{"idle connection, reset after a short run", true, time.Second, trip + 72*time.Millisecond, false},
+		{"idle connection, reset after a long run", true, time.Second, 400 * time.Millisecond, false},
+		{"connection in use shortly before", true, 100 * time.Millisecond, trip, false},
+		{"new connection", false, 0, trip, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			p := &Pools{deps: Deps{Clock: kernel.SystemClock{}}}
-			p.staleness.share = 1 // of those before
+			p.staleness.share = 1 // all earlier connections were stale
 			c := &Conn{pool: p.newPool(), reused: tt.reused, idleFor: tt.idle}
-			c.pool.recordOpening(2 * trip) // on a loaded VM
-			c.pool.recordOpening(trip)
+			c.pool.recordConnectTime(2 * trip) // slower, as on a loaded VM
+			c.pool.recordConnectTime(trip)
 			if got := c.Stale(tt.after); got != tt.want {
-				t.Errorf("stale: %v, want %v", got, tt.want)
+				t.Errorf("Stale = %v, want %v", got, tt.want)
 			}
 			if p.MostlyStale() != tt.want {
-				t.Errorf("idle times are shortened: %v, want %v", p.MostlyStale(), tt.want)
+				t.Errorf("MostlyStale = %v, want %v", p.MostlyStale(), tt.want)
 			}
 		})
 	}
 }
 
-// While many connections are stale, those that were idle for long are not used.
+// While many connections are stale, idle times above the reduced limit prevent reuse.
 func TestIdleConnectionsWhileMostAreStale(t *testing.T) {
 	p := newPools(t)
-	target := wholeTarget(t)
+	target := soundTarget(t)
 	c := get(t, p, target, 4, UseAny)
 	if body, err := exchange(t.Context(), c, "GET"); err != nil || body != "ok" {
 		t.Fatalf("%q, %v", body, err)
 	}
 	c.Keep()
-	makeStale(&p.staleness, 0, time.Now())
+	recordManyStale(&p.staleness, 0, time.Now())
 	if again := get(t, p, target, 4, UseAny); again.reused {
-		t.Error("an idle connection was used")
+		t.Error("an idle connection was reused")
 	}
 }
--- a/internal/targetconn/budget.go
+++ b/internal/targetconn/budget.go
@@ -6,38 +6,40 @@
 )
 
 const (
-	// AheadInterval is the interval of opening connections to expected targets.
+	// AheadInterval is the interval at which connections are opened ahead to expected targets.
 	AheadInterval = 250 * time.Millisecond
-	// aheadPerRequest bounds the connections opened ahead per request to another region. A VM with
-	// few requests needs several to find one open.
+	// aheadPerRequest is the number of connections that may be opened ahead for each request to another
+	// region. It is above 1 because a VM with few requests must open connections to several targets
+	// to have one to the target that is chosen.
 	aheadPerRequest = 4
-	// aheadBurst bounds the saved connections.
-	aheadBurst = 64
-	// AheadMost bounds the targets with connections opened ahead, for the memory of idle ones.
+	// maxAheadBudget is the largest balance of an AheadBudget, in connections.
+	maxAheadBudget = 64
+	// AheadMost is the maximum number of targets to which connections are opened ahead. It limits the
+	// memory of idle connections.
 	AheadMost = 512
 )
 
-// AheadBudget limits connections opened ahead by the number of remote requests. Its zero value is
-// empty.
+// AheadBudget limits the connections opened ahead in proportion to the requests to other regions. The
+// zero value is an empty budget.
 type AheadBudget struct {
-	mu   sync.Mutex
-	left float64
+	mu      sync.Mutex
+	balance float64 // in connections
 }
 
-// Earn records a request to another region.
+// Earn adds the connections that a request to another region allows.
 func (b *AheadBudget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.left+aheadPerRequest, aheadBurst)
+	b.balance = min(b.balance+aheadPerRequest, maxAheadBudget)
 }
 
-// Spend takes one connection; false if the budget is empty.
+// Spend takes one connection from the budget. It returns false if less than one is left.
 func (b *AheadBudget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.left--
+	b.balance--
 	return true
 }
--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -5,58 +5,60 @@
 	"time"
 )
 
-// Conn is one connection to a target, reserved for one exchange at a time. It never resends a request.
+// Conn is a connection to a target, reserved for one exchange at a time. It never resends a request.
 // Every Conn returned by Get must be released by exactly one call of Keep or Drop.
 type Conn struct {
-	pool     *pool
-	client   *http.ClientConn
-	wire     *wire
-	openedAt time.Time
-	maxAge   time.Duration
-	idleAt   time.Time
-	reused   bool
-	idleFor  time.Duration // before this exchange, where it is reused
-	openedIn time.Duration
+	pool        *pool
+	client      *http.ClientConn
+	wire        *wire
+	openedAt    time.Time
+	maxAge      time.Duration
+	idleSince   time.Time
+	reused      bool
+	idleFor     time.Duration // before this exchange, if the connection is reused
+	connectTime time.Duration
 }
 
-// OpenedIn returns the time it took to open the connection for this exchange; 0: it was open.
+// OpenedIn returns the time it took to open the connection, or 0 if this exchange reuses it.
 func (c *Conn) OpenedIn() time.Duration {
 	if c.reused {
 		return 0
 	}
-	return c.openedIn
+	return c.connectTime
 }
 
-// RoundTrip sends the request once and returns the answer's head.
+// RoundTrip sends the request once and returns the head of the response.
 func (c *Conn) RoundTrip(req *http.Request) (*http.Response, error) {
 	return c.client.RoundTrip(req)
 }
 
-// Untouched forbids further writes and reports whether no byte of the request was passed to the
-// network. The result is final; after true no byte is sent. The connection can't be kept.
+// Untouched forbids further writes and reports whether no byte of the request was written to the
+// network. The result is final: if it is true, no byte will be written. The connection must then be
+// released by Drop.
 func (c *Conn) Untouched() bool { return c.wire.seal() }
 
-// Keep releases a connection after the clean end of an answer. It becomes idle unless the target has
-// sent anything after it.
+// Keep releases the connection after a complete response. The connection becomes idle once its reader
+// waits for data, which shows that the target sent nothing after the response.
 func (c *Conn) Keep() {
-	if c.reused && c.idleFor >= idleLeast {
-		c.pool.staleness.recordUse()
+	if c.reused && c.idleFor >= minStaleIdle {
+		c.pool.staleness.recordUsable()
 	}
-	c.wire.settle()
+	c.wire.endExchange()
 }
 
-// Drop closes the connection.
+// Drop closes the connection and removes it from its pool.
 func (c *Conn) Drop() {
 	c.wire.seal()
-	c.pool.forget(c)
+	c.pool.remove(c)
 	_ = c.client.Close()
 }
 
 // usable reports whether an idle connection may carry another exchange.
 func (c *Conn) usable(now time.Time, idleLimit time.Duration) bool {
-	return c.fresh(now, idleLimit) && c.client.Err() == nil
+	return c.withinAgeLimits(now, idleLimit) && c.client.Err() == nil
 }
 
-func (c *Conn) fresh(now time.Time, idleLimit time.Duration) bool {
-	return now.Sub(c.openedAt) <= c.maxAge && now.Sub(c.idleAt) <= idleLimit
+// withinAgeLimits reports whether neither the age nor the idle time of the connection is too long.
+func (c *Conn) withinAgeLimits(now time.Time, idleLimit time.Duration) bool {
+	return now.Sub(c.openedAt) <= c.maxAge && now.Sub(c.idleSince) <= idleLimit
 }
--- a/internal/targetconn/idle.go
+++ b/internal/targetconn/idle.go
@@ -10,97 +10,100 @@
 // pool holds the connections to one target.
 type pool struct {
 	dropped   *metrics.Counter
-	staleness *staleness // of the connections to all targets
+	staleness *staleness // shared by the pools of all targets
 	now       func() time.Time
 
 	mu      sync.Mutex
 	open    map[*Conn]struct{} // in use and idle
 	dialing int
 	idle    []*Conn // the most recently used last
-	retired bool    // the target left the document
-	// targetKeeps is the target's keep-alive timeout; 0: not announced.
-	targetKeeps time.Duration
-	opening     time.Duration // of the connection that opened fastest; 0: none has
-	// doubtUntil is the end of the time in which an unexpected answer may arrive.
-	doubtUntil time.Time
+	retired bool    // the target was removed from the document, or the pools were closed
+	// keepAliveTimeout is the keep-alive timeout that the target announced; 0 if none.
+	keepAliveTimeout time.Duration
+	shortestConnect  time.Duration // shortest time it took to open a connection; 0 if none was opened
+	// reuseRestrictedUntil is the time until which a mismatched response may arrive on any connection.
+	reuseRestrictedUntil time.Time
 }
 
 func (p *Pools) newPool() *pool {
 	return &pool{open: make(map[*Conn]struct{}), dropped: p.dropped, staleness: &p.staleness, now: p.deps.Clock.Now}
 }
 
-// acquireIdleFor returns an idle connection suitable for a use, or nil.
+// acquireIdleFor returns an idle connection that is suitable for the use, or nil.
 func (p *pool) acquireIdleFor(use Use, now time.Time) *Conn {
 	switch use {
 	case UseAny:
-		return p.acquireIdle(now, p.staleness.bound(p.usualLimit(), now))
+		return p.acquireIdle(now, p.staleness.limitIdleTime(p.idleLimit(), now))
 	case UseRecent:
-		if !p.doubted(now) {
-			return p.acquireIdle(now, p.staleness.bound(recentLimit, now))
+		if !p.isReuseRestricted(now) {
+			return p.acquireIdle(now, p.staleness.limitIdleTime(recentIdleLimit, now))
 		}
 	}
 	return nil
 }
 
-func (p *pool) doubted(now time.Time) bool {
+// isReuseRestricted reports whether UseRecent requires a new connection.
+func (p *pool) isReuseRestricted(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Before(p.doubtUntil)
+	return now.Before(p.reuseRestrictedUntil)
 }
 
-func (p *pool) distrust(until time.Time) {
+// restrictReuse makes UseRecent require a new connection until the given time.
+func (p *pool) restrictReuse(until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.doubtUntil = until
+	p.reuseRestrictedUntil = until
 }
 
-// acquireIdle returns the most recently used idle connection that is usable and was in use within the
-// limit, in an exchange; or nil.
+// acquireIdle begins an exchange on the most recently used idle connection that is usable and has been
+// idle for no longer than the limit. It closes unusable ones and returns nil if none is left.
 func (p *pool) acquireIdle(now time.Time, limit time.Duration) *Conn {
 	for {
 		c := p.popIdle(now, limit)
 		if c == nil {
 			return nil
 		}
-		if c.usable(now, limit) && c.wire.begin() {
+		if c.usable(now, limit) && c.wire.beginExchange() {
 			c.reused = true
-			c.idleFor = now.Sub(c.idleAt)
+			c.idleFor = now.Sub(c.idleSince)
 			return c
 		}
 		c.Drop()
 	}
 }
 
-// recordOpening records the time it took to open a connection.
-func (p *pool) recordOpening(took time.Duration) {
+// recordConnectTime records the time it took to open a connection.
+func (p *pool) recordConnectTime(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.opening == 0 || took < p.opening {
-		p.opening = took
+	if p.shortestConnect == 0 || took < p.shortestConnect {
+		p.shortestConnect = took
 	}
 }
 
-// shortestOpening is the shortest time it took to open a connection.
-func (p *pool) shortestOpening() time.Duration {
+// shortestConnectTime returns the shortest time it took to open a connection, or 0 if none was opened.
+func (p *pool) shortestConnectTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.opening
+	return p.shortestConnect
 }
 
-// usualLimit is the longest idle time of a connection for a repeatable request.
-func (p *pool) usualLimit() time.Duration {
+// idleLimit returns the longest idle time of a connection that a repeatable request may reuse.
+func (p *pool) idleLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.idleLimit()
+	return p.idleLimitLocked()
 }
 
-// popIdle removes the most recently used connection, if it was in use within the limit.
+// popIdle removes and returns the most recently used idle connection, or nil. Below defaultIdleLimit, the
+// connection stays in the pool if it has been idle for longer than the limit.
 func (p *pool) popIdle(now time.Time, limit time.Duration) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
-	if n == 0 || limit < IdleLimit && now.Sub(p.idle[n-1].idleAt) > limit {
-		return nil // an older one is for other uses
+	if n == 0 || limit < defaultIdleLimit && now.Sub(p.idle[n-1].idleSince) > limit {
+		return nil // requests with a longer limit may still use it
 	}
 	c := p.idle[n-1]
 	p.idle[n-1] = nil
@@ -108,7 +111,8 @@
 	return c
 }
 
-// reserve reserves a new connection within the limit, closing an idle one if needed.
+// reserve reserves a new connection within the limit, closing the least recently used idle one if
+// needed.
 func (p *pool) reserve(limit int) bool {
 	p.mu.Lock()
 	var evicted *Conn
@@ -128,6 +132,7 @@
 	return ok
 }
 
+// unreserve cancels a reservation.
 func (p *pool) unreserve() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,24 +147,25 @@
 	p.open[c] = struct{}{}
 }
 
-// releaseIdle makes a connection idle that is quiet after its exchange.
-func (p *pool) releaseIdle(c *Conn, now time.Time) {
+// putIdle adds a connection to the idle ones. It closes the connection if the pool is retired or no
+// longer holds it.
+func (p *pool) putIdle(c *Conn, now time.Time) {
 	p.mu.Lock()
 	_, known := p.open[c]
 	keep := known && !p.retired
 	if keep {
-		c.idleAt = now
+		c.idleSince = now
 		p.idle = append(p.idle, c)
 	}
 	p.mu.Unlock()
 	if !keep {
-		// The caller may hold the connection's own reader: close elsewhere.
+		// This may run in the connection's reader goroutine, so close in another one.
 		go c.Drop()
 	}
 }
 
-// forget removes a connection that is about to be closed.
-func (p *pool) forget(c *Conn) {
+// remove removes a connection that is being closed from the pool.
+func (p *pool) remove(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, ok := p.open[c]; !ok {
@@ -175,6 +181,7 @@
 	}
 }
 
+// dropIdle closes all idle connections.
 func (p *pool) dropIdle() {
 	p.mu.Lock()
 	idle := p.idle
@@ -185,6 +192,7 @@
 	}
 }
 
+// retire closes all idle connections. Those in use are closed when they are released.
 func (p *pool) retire() {
 	p.mu.Lock()
 	p.retired = true
@@ -192,23 +200,23 @@
 	p.dropIdle()
 }
 
-// sweep drops idle connections that are too old.
+// sweep closes idle connections that are no longer usable.
 func (p *pool) sweep(now time.Time) {
 	p.mu.Lock()
-	limit := p.idleLimit()
-	var old []*Conn
+	limit := p.idleLimitLocked()
+	var expired []*Conn
 	kept := p.idle[:0]
 	for _, c := range p.idle {
 		if c.usable(now, limit) {
 			kept = append(kept, c)
 			continue
 		}
-		old = append(old, c)
+		expired = append(expired, c)
 	}
 	clear(p.idle[len(kept):])
 	p.idle = kept
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.Drop()
 	}
 }
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -1,5 +1,6 @@
-// Package targetconn keeps the connections to targets: limited per target, aged out, never resent on,
-// and never reused after an answer that was late, short or followed by unexpected bytes.
+// Package targetconn pools the connections to targets. It limits their number per target and their age.
+// No request is sent twice on a connection, and no connection is reused after a response that was late,
+// truncated or followed by unexpected bytes.
 package targetconn
 
 import (
@@ -18,41 +19,42 @@
 	"masticturn/internal/kernel"
 )
 
-// Idle times. They stay well below usual servers' idle timeouts, as a request may race with the
-// server's close.
+// Limits of idle time and age. They are well below the usual idle timeouts of servers, because a request
+// may be sent while the server closes the connection.
 const (
-	// IdleLimit is the longest idle time of a connection for reuse.
-	IdleLimit = 4 * time.Second
-	maxAge    = 2 * time.Minute
-	// recentLimit is that for a non-idempotent request.
-	recentLimit = 2 * time.Second
-	// distrustFor is how long a target's connections are not reused for such requests after a mismatched
-	// response, as another one may follow on any of them.
-	distrustFor  = 10 * time.Second
-	maxAgeJitter = 30 * time.Second
+	// defaultIdleLimit is the longest idle time of a connection for reuse, unless the target announces a
+	// longer keep-alive timeout.
+	defaultIdleLimit = 4 * time.Second
+	maxAge           = 2 * time.Minute
+	// recentIdleLimit is the longest idle time of a connection that a non-idempotent request reuses.
+	recentIdleLimit = 2 * time.Second
+	// reuseRestrictionTime is how long non-idempotent requests reuse no connections of a target after a
+	// mismatched response, as another one may arrive on any of them.
+	reuseRestrictionTime = 10 * time.Second
+	maxAgeJitter         = 30 * time.Second
 )
 
-// ErrLimit: all connections of this VM to the target are in use.
+// ErrLimit is returned if this VM has as many connections to the target as it may have, and none is idle.
 var ErrLimit = errors.New("limit of connections to the target is reached")
 
-// Use is the purpose of a connection.
+// Use states which connections a request may use.
 type Use uint8
 
-// The uses of a connection.
+// The values of Use.
 const (
-	UseAny    Use = iota // an idle one is good
-	UseFresh             // only one on which nothing was sent yet
-	UseRecent            // one that was in use within recentLimit, or a fresh one
+	UseAny    Use = iota // an idle connection, or else a new one
+	UseFresh             // only a new connection
+	UseRecent            // a connection idle for at most recentIdleLimit, or else a new one
 )
 
-// Deps is what Pools needs.
+// Deps holds the dependencies of Pools.
 type Deps struct {
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
 	Clock   kernel.Clock
 	Metrics *metrics.Set
 }
 
-// Pools holds a pool of connections for each target in use.
+// Pools holds a connection pool for each target in use.
 type Pools struct {
 	deps      Deps
 	transport *http.Transport
@@ -84,7 +86,7 @@
 	return p
 }
 
-// dial wraps the connection in the wire found in the context.
+// dial opens a connection and returns it wrapped in the wire that the context carries.
 func (p *Pools) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := p.deps.Dial(ctx, network, address)
 	if err != nil {
@@ -95,8 +97,8 @@
 	return w, nil
 }
 
-// Get returns a connection to the target, or ErrLimit if this VM's share of the target's connections
-// is in use. No byte has been sent on an error.
+// Get returns a connection to the target that suits the use. The limit is this VM's share of the target's
+// connections; Get returns ErrLimit if all of them are in use. If Get fails, no byte was sent.
 func (p *Pools) Get(ctx context.Context, t *config.TargetIndex, limit int, use Use) (*Conn, error) {
 	pl := p.pool(poolKey{t.Name, t.Address})
 	if c := pl.acquireIdleFor(use, p.deps.Clock.Now()); c != nil {
@@ -114,38 +116,39 @@
 	return c, nil
 }
 
-// open opens a connection for an exchange.
+// open opens a connection and begins an exchange on it.
 func (p *Pools) open(ctx context.Context, pl *pool, address string) (*Conn, error) {
 	c, err := p.connect(ctx, pl, address)
 	if err != nil {
 		return nil, err
 	}
-	if !c.wire.begin() {
+	if !c.wire.beginExchange() {
 		_ = c.client.Close()
-		return nil, trace.ConnectionProblem(nil, "the target spoke first or closed the new connection")
+		return nil, trace.ConnectionProblem(nil, "target sent data before any request or closed the new connection")
 	}
 	pl.add(c)
 	return c, nil
 }
 
-// connect opens a connection.
+// connect opens a connection for which the caller has a reservation.
 func (p *Pools) connect(ctx context.Context, pl *pool, address string) (*Conn, error) {
 	now := p.deps.Clock.Now()
 	w := &wire{}
 	c := &Conn{pool: pl, wire: w, openedAt: now, maxAge: maxAge + rand.N(maxAgeJitter)}
-	w.quiet = func() { pl.releaseIdle(c, p.deps.Clock.Now()) }
-	w.closed = func() { pl.forget(c) }
+	w.onIdle = func() { pl.putIdle(c, p.deps.Clock.Now()) }
+	w.onClose = func() { pl.remove(c) }
 	client, err := p.transport.NewClientConn(context.WithValue(ctx, wireKey{}, w), "http", address)
 	if err != nil {
 		return nil, err
 	}
 	p.opened.Inc()
 	c.client = client
-	c.openedIn = p.deps.Clock.Now().Sub(now)
-	pl.recordOpening(c.openedIn)
+	c.connectTime = p.deps.Clock.Now().Sub(now)
+	pl.recordConnectTime(c.connectTime)
 	return c, nil
 }
 
+// pool returns the pool of a target and creates it if needed.
 func (p *Pools) pool(key poolKey) *pool {
 	p.mu.RLock()
 	pl := p.pools[key]
@@ -162,20 +165,21 @@
 	return pl
 }
 
-// Suspect drops the idle connections to a target after one of its connections turned silent, as the
-// target may have lost all of them.
+// Suspect closes the idle connections to a target. It is called after the target was silent on one of its
+// connections, as the target may have lost all of them.
 func (p *Pools) Suspect(t *config.TargetIndex) {
 	p.pool(poolKey{t.Name, t.Address}).dropIdle()
 }
 
-// Distrust makes non-idempotent requests use new connections to a target for a while.
+// Distrust makes non-idempotent requests use only new connections to a target for
+// reuseRestrictionTime. It is called after a mismatched response.
 func (p *Pools) Distrust(t *config.TargetIndex) {
 	pl := p.pool(poolKey{t.Name, t.Address})
-	pl.distrust(p.deps.Clock.Now().Add(distrustFor))
+	pl.restrictReuse(p.deps.Clock.Now().Add(reuseRestrictionTime))
 }
 
-// Adopt forgets targets that left the document and closes their idle connections. Exchanges in flight
-// finish.
+// Adopt removes the pools of targets that are no longer in the document, or have another address, and
+// closes their idle connections. Exchanges in flight continue.
 func (p *Pools) Adopt(s *config.Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,7 +193,7 @@
 	}
 }
 
-// Sweep closes idle connections that are too old. It must be called about once a second.
+// Sweep closes idle connections that are no longer usable. It should be called about once a second.
 func (p *Pools) Sweep() {
 	now := p.deps.Clock.Now()
 	p.mu.RLock()
@@ -199,7 +203,7 @@
 	}
 }
 
-// Close closes the idle connections; others are closed when released.
+// Close closes the idle connections. Those in use are closed when they are released.
 func (p *Pools) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/targetconn/received.go
+++ b/internal/targetconn/received.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// receivedMore reports whether a connection has received more than the given number of bytes, which
-// the reader has passed on, or its end. It does not block. Only plain sockets are supported.
-func receivedMore(conn net.Conn, handedOn uint64) bool {
+// hasUnread reports whether a connection has received its end, or more bytes than were read from it. It
+// does not block. It returns false for a connection that is not a plain socket.
+func hasUnread(conn net.Conn, read uint64) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -21,7 +21,7 @@
 	more := false
 	err = raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		more = err != nil || info.Bytes_received > handedOn
+		more = err != nil || info.Bytes_received > read
 	})
 	return more || err != nil
 }
--- a/internal/targetconn/stale.go
+++ b/internal/targetconn/stale.go
@@ -6,72 +6,75 @@
 )
 
 const (
-	// staleFor is how long a high share of stale connections is remembered.
-	staleFor = 10 * time.Second
-	// staleWeight is the weight of one use in the share of stale connections, and staleLeast the share from
-	// which idle times are shortened. A lower share may stem from addresses that changed hands.
-	staleWeight = 0.1
-	staleLeast  = 0.25
-	// stalePart is the share of a stale connection's idle time within which others are used meanwhile, as
-	// the actual timeout is only known to be shorter.
-	stalePart = 0.25
-	// resetTrips and resetSlack bound the delay of a reset by a stale connection: a round trip by the
-	// shortest opening, with some slack. A failing target resets later.
-	resetTrips = 1.25
-	resetSlack = 15 * time.Millisecond
-	// idleLeast is the shortest idle time of a stale connection.
-	idleLeast = 150 * time.Millisecond
+	// reducedLimitTime is how long the idle limit stays reduced after a stale connection.
+	reducedLimitTime = 10 * time.Second
+	// staleSampleWeight is the weight of one use in the moving average of stale connections.
+	staleSampleWeight = 0.1
+	// minStaleShare is the share of stale connections from which the idle limit is reduced. A lower share
+	// may be caused by addresses that were reassigned to other targets.
+	minStaleShare = 0.25
+	// reducedLimitFraction is the reduced limit as a fraction of a stale connection's idle time: that the
+	// target's timeout is shorter than this time is all that is known.
+	reducedLimitFraction = 0.25
+	// resetRoundTrips and resetSlack bound the delay from a request on a stale connection to its reset: one
+	// round trip, as estimated by the shortest connect time, and some slack. A target that fails while
+	// it runs the request resets the connection later.
+	resetRoundTrips = 1.25
+	resetSlack      = 15 * time.Millisecond
+	// minStaleIdle is the shortest idle time from which a connection may count as stale.
+	minStaleIdle = 150 * time.Millisecond
 )
 
-// staleness is the share of idle connections that their targets had closed. If it is high, requests
-// avoid connections with long idle times.
+// staleness tracks the share of idle connections that their targets had already closed when they were
+// used. If it is high, the idle limit is reduced for a while.
 type staleness struct {
-	mu    sync.Mutex
-	share float64       // of the latest uses of idle connections
-	limit time.Duration // for which a connection may be idle meanwhile
-	until time.Time
+	mu           sync.Mutex
+	share        float64       // exponential moving average over uses of idle connections
+	reducedLimit time.Duration // idle limit until reducedUntil
+	reducedUntil time.Time
 }
 
-// recordUse records a usable idle connection.
-func (s *staleness) recordUse() {
+// recordUsable records the use of an idle connection that was not stale.
+func (s *staleness) recordUsable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.share -= staleWeight * s.share
+	s.share -= staleSampleWeight * s.share
 }
 
-// note records a stale connection with its idle time.
-func (s *staleness) note(idle time.Duration, now time.Time) {
+// recordStale records the use of a stale connection and how long it had been idle.
+func (s *staleness) recordStale(idle time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.share += staleWeight * (1 - s.share)
-	if s.share < staleLeast {
+	s.share += staleSampleWeight * (1 - s.share)
+	if s.share < minStaleShare {
 		return
 	}
-	limit := time.Duration(stalePart * float64(idle))
-	if now.Before(s.until) {
-		limit = min(limit, s.limit)
+	limit := time.Duration(reducedLimitFraction * float64(idle))
+	if now.Before(s.reducedUntil) {
+		limit = min(limit, s.reducedLimit)
 	}
-	s.limit = limit
-	s.until = now.Add(staleFor)
+	s.reducedLimit = limit
+	s.reducedUntil = now.Add(reducedLimitTime)
 }
 
-// bound returns the limit, or the shorter one in force.
-func (s *staleness) bound(limit time.Duration, now time.Time) time.Duration {
+// limitIdleTime returns the given idle limit, or the reduced one if that is in force and shorter.
+func (s *staleness) limitIdleTime(limit time.Duration, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Before(s.until) {
-		return min(limit, s.limit)
+	if now.Before(s.reducedUntil) {
+		return min(limit, s.reducedLimit)
 	}
 	return limit
 }
 
-// Stale reports whether the connection had been idle and was reset too soon after the request for the
-// target to have read it. It must be called once, after an exchange without an answer.
-func (c *Conn) Stale(sent time.Duration) bool {
-	longest := time.Duration(resetTrips*float64(c.pool.shortestOpening())) + resetSlack
-	if !c.reused || c.idleFor < idleLeast || sent > longest {
+// Stale reports whether the connection had been idle and was reset so soon after the request that the
+// target can't have read it, and records a stale connection. The parameter is the time since the request
+// was sent. It must be called once, after an exchange that ended without a response.
+func (c *Conn) Stale(sinceSent time.Duration) bool {
+	maxResetDelay := time.Duration(resetRoundTrips*float64(c.pool.shortestConnectTime())) + resetSlack
+	if !c.reused || c.idleFor < minStaleIdle || sinceSent > maxResetDelay {
 		return false
 	}
-	c.pool.staleness.note(c.idleFor, c.pool.now())
+	c.pool.staleness.recordStale(c.idleFor, c.pool.now())
 	return true
 }
--- a/internal/targetconn/targetconn_test.go
+++ b/internal/targetconn/targetconn_test.go
@@ -19,10 +19,10 @@
 	"masticturn/internal/kernel"
 )
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const completeResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// rawTarget accepts connections and serves each with f; n is the connection's
-// number, from 0.
+// rawTarget starts a listener that handles each connection with f. The connections
+// are numbered from 0.
 func rawTarget(t *testing.T, f func(n int, conn net.Conn)) *config.TargetIndex {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,8 +45,9 @@
 	return &config.TargetIndex{Target: &config.Target{Name: "t", Address: l.Addr().String()}}
 }
 
-// wholeTarget answers every request properly and keeps its connections.
-func wholeTarget(t *testing.T) *config.TargetIndex {
+// soundTarget starts a target that answers every request with completeResponse and
+// keeps its connections open.
+func soundTarget(t *testing.T) *config.TargetIndex {
 	t.Helper()
 	return rawTarget(t, func(_ int, conn net.Conn) {
 		br := bufio.NewReader(conn)
@@ -54,7 +55,7 @@
 			if _, err := http.ReadRequest(br); err != nil {
 				return
 			}
-			fmt.Fprint(conn, wholeAnswer)
+			fmt.Fprint(conn, completeResponse)
 		}
 	})
 }
@@ -74,7 +75,7 @@
 	return c
 }
 
-// exchange sends one request and reads the answer.
+// exchange sends one request and returns the body of the response.
 func exchange(ctx context.Context, c *Conn, method string) (string, error) {
 	req := &http.Request{Method: method, URL: &url.URL{Scheme: "http", Host: "target", Path: "/"}, Header: http.Header{}}
 	resp, err := c.RoundTrip(req.WithContext(ctx))
@@ -99,7 +100,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatalf("never %d idle connections", n)
+	t.Fatalf("the pool never had %d idle connections", n)
 }
 
 func TestConnectionIsReusedAfterCleanAnswer(t *testing.T) {
@@ -111,7 +112,7 @@
 			if _, err := http.ReadRequest(br); err != nil {
 				return
 			}
-			fmt.Fprint(conn, wholeAnswer)
+			fmt.Fprint(conn, completeResponse)
 		}
 	})
 	p := newPools(t)
@@ -127,22 +128,21 @@
 		t.Errorf("%d connections were opened, want 1", n)
 	}
 	if c := get(t, p, target, 2, UseFresh); c.reused {
-		t.Error("a fresh connection was asked for")
+		t.Error("a connection was reused although a new one was requested")
 	}
 }
 
-// A second answer behind the first must never become the answer of the next
-// request, however the two arrive, once the second one is there. One that
-// comes even later can be told by its request id only, which is the
-// forwarder's to check.
+// A connection on which data follows the response must not be reused, or the next
+// request would get that data as its response. This covers data that has arrived
+// before the next request; the forwarder detects later data by its request id.
 func TestConnectionWithMoreThanWasAskedIsNeverReused(t *testing.T) {
 	tests := map[string]func(conn net.Conn){
-		"in one piece": func(conn net.Conn) { fmt.Fprint(conn, wholeAnswer+wholeAnswer) },
-		"in two pieces": func(conn net.Conn) {
-			fmt.Fprint(conn, wholeAnswer)
-			fmt.Fprint(conn, wholeAnswer)
+		"in one write": func(conn net.Conn) { fmt.Fprint(conn, completeResponse+completeResponse) },
+		"in two writes": func(conn net.Conn) {
+			fmt.Fprint(conn, completeResponse)
+			fmt.Fprint(conn, completeResponse)
 		},
-		"a stray byte": func(conn net.Conn) { fmt.Fprint(conn, wholeAnswer+"H") },
+		"a stray byte": func(conn net.Conn) { fmt.Fprint(conn, completeResponse+"H") },
 	}
 	for name, answer := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -184,15 +184,15 @@
 	get(t, p, target, 2, UseAny)
 }
 
-func TestUntouchedIsFinal(t *testing.T) {
+func TestSealIsFinal(t *testing.T) {
 	target := rawTarget(t, func(_ int, conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
 	p := newPools(t)
 	c := get(t, p, target, 1, UseFresh)
 	if !c.Untouched() {
-		t.Fatal("nothing was written, yet it counts as touched")
+		t.Fatal("Untouched is false although nothing was written")
 	}
-	if _, err := c.wire.Write([]byte("GET")); !errors.Is(err, errSealed) {
-		t.Errorf("a byte left after it was called untouched: %v", err)
+	if _, err := c.wire.Write([]byte("GET")); !errors.Is(err, errNoExchange) {
+		t.Errorf("write after Untouched: got %v, want errNoExchange", err)
 	}
 	c.Drop()
 	c = get(t, p, target, 1, UseFresh)
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	if c.Untouched() {
-		t.Error("a byte was written, yet it counts as untouched")
+		t.Error("Untouched is true although a byte was written")
 	}
 }
 
@@ -215,7 +215,7 @@
 			if n == 1 {
 				<-release
 			}
-			fmt.Fprint(conn, wholeAnswer)
+			fmt.Fprint(conn, completeResponse)
 		}
 	})
 	p := newPools(t)
@@ -241,12 +241,12 @@
 	}
 	close(release)
 	if err := <-done; err != nil {
-		t.Errorf("the exchange in flight was cut: %v", err)
+		t.Errorf("the exchange in flight failed: %v", err)
 	}
 }
 
-func TestSuspectDropsIdleConnections(t *testing.T) {
-	target := wholeTarget(t)
+func TestDropIdle(t *testing.T) {
+	target := soundTarget(t)
 	p := newPools(t)
 	c := get(t, p, target, 2, UseFresh)
 	if _, err := exchange(t.Context(), c, "GET"); err != nil {
@@ -256,7 +256,7 @@
 	waitIdle(t, p, target, 1)
 	p.Suspect(target)
 	if c = get(t, p, target, 2, UseAny); c.reused {
-		t.Error("a suspect connection was reused")
+		t.Error("an idle connection was reused after Suspect")
 	}
 }
 
@@ -268,21 +268,21 @@
 		want             bool
 	}{
 		{"new", 0, 0, true},
-		{"idle for too long", time.Minute, IdleLimit + 1, false},
+		{"idle for too long", time.Minute, defaultIdleLimit + 1, false},
 		{"too old", maxAge + 1, 0, false},
 	}
 	for _, tt := range tests {
-		c := &Conn{client: &http.ClientConn{}, openedAt: now.Add(-tt.opened), idleAt: now.Add(-tt.lastUsed), maxAge: maxAge}
-		if got := c.fresh(now, IdleLimit); got != tt.want {
+		c := &Conn{client: &http.ClientConn{}, openedAt: now.Add(-tt.opened), idleSince: now.Add(-tt.lastUsed), maxAge: maxAge}
+		if got := c.withinAgeLimits(now, defaultIdleLimit); got != tt.want {
 			t.Errorf("%s: got %v", tt.name, got)
 		}
 	}
 }
 
-// A request that must not be lost goes on a connection that was in use a moment
-// ago, and on no other one.
+// A request that is not repeatable reuses only connections that were in use within
+// recentIdleLimit, and none for a while after a mismatched response.
 func TestRecentConnections(t *testing.T) {
-	target := wholeTarget(t)
+	target := soundTarget(t)
 	tests := []struct {
 		name    string
 		idleFor time.Duration
@@ -290,11 +290,11 @@
 		use     Use
 		reused  bool
 	}{
-		{"in use a moment ago", 0, nil, UseRecent, true},
-		{"idle for longer", recentLimit + time.Second, nil, UseRecent, false},
-		{"idle for longer, for a request that may be repeated", recentLimit + time.Second, nil, UseAny, true},
-		{"after an answer of another request", 0, func(p *Pools) { p.Distrust(target) }, UseRecent, false},
-		{"after such an answer, for a request that may be repeated", 0, func(p *Pools) { p.Distrust(target) }, UseAny, true},
+		{"recently used", 0, nil, UseRecent, true},
+		{"idle for too long", recentIdleLimit + time.Second, nil, UseRecent, false},
+		{"idle for too long, repeatable request", recentIdleLimit + time.Second, nil, UseAny, true},
+		{"after a mismatched response", 0, func(p *Pools) { p.Distrust(target) }, UseRecent, false},
+		{"after a mismatched response, repeatable request", 0, func(p *Pools) { p.Distrust(target) }, UseAny, true},
 	}
 	for _, tt := range tests {
 		p := newPools(t)
@@ -306,17 +306,17 @@
 		waitIdle(t, p, target, 1)
 		pl := p.pool(poolKey{target.Name, target.Address})
 		pl.mu.Lock()
-		pl.idle[0].idleAt = pl.idle[0].idleAt.Add(-tt.idleFor)
+		pl.idle[0].idleSince = pl.idle[0].idleSince.Add(-tt.idleFor)
 		pl.mu.Unlock()
 		if tt.prepare != nil {
 			tt.prepare(p)
 		}
 		next := get(t, p, target, 2, tt.use)
 		if next.reused != tt.reused {
-			t.Errorf("%s: reused %t", tt.name, next.reused)
+			t.Errorf("%s: reused = %t", tt.name, next.reused)
 		}
 		if (next.OpenedIn() == 0) != tt.reused {
-			t.Errorf("%s: opened in %v", tt.name, next.OpenedIn())
+			t.Errorf("%s: OpenedIn = %v", tt.name, next.OpenedIn())
 		}
 		next.Drop()
 	}
--- a/internal/targetconn/wire.go
+++ b/internal/targetconn/wire.go
@@ -6,46 +6,46 @@
 	"sync"
 )
 
-// phase is the state of a connection.
+// phase is the state of a wire.
 type phase uint8
 
 const (
 	phaseIdle     phase = iota // between exchanges, a read is pending
-	phaseExchange              // a request may be written and an answer read
-	phaseSettling              // the exchange is over, the reader has not come back yet
-	phaseSealed                // nothing may be written any more
+	phaseExchange              // a request may be written and a response read
+	phaseEnding                // the exchange is over, but no read is pending yet
+	phaseSealed                // no further writes are allowed
 )
 
 var (
-	errUnsolicited = errors.New("target sent bytes that no request asked for")
-	errSealed      = errors.New("connection is sealed")
+	errUnsolicited = errors.New("target sent unsolicited data")
+	errNoExchange  = errors.New("write outside of an exchange")
 )
 
-// wire is the net.Conn below a ClientConn. It records whether a byte of the exchange was written, refuses
-// writes outside an exchange, and drops bytes that arrive before a request is written.
+// wire is the net.Conn below an http.ClientConn. It records whether any byte of an exchange was written,
+// rejects writes outside of exchanges, and discards data that arrives before a request is written.
 //
 // An HTTP/1 client connection reads from its net.Conn only if its buffer is empty. A pending read after
-// an exchange thus proves that nothing followed the answer; only then quiet is called.
+// an exchange thus proves that no data followed the response; only then is onIdle called.
 type wire struct {
 	net.Conn
-	quiet  func() // the exchange ended and nothing followed the answer
-	closed func() // the connection was closed by either side
+	onIdle  func() // called when an exchange has ended and no data followed the response
+	onClose func() // called by Close, whichever side ended the connection
 
 	mu      sync.Mutex
 	phase   phase
 	reading bool
 	wrote   bool
 	broken  bool
-	// received counts the bytes that Read has returned.
+	// received is the number of bytes read from the connection.
 	received uint64
 }
 
-// begin starts an exchange; false if the connection is unusable. Bytes received since the last answer
-// make it so, even before the reader is scheduled.
-func (w *wire) begin() bool {
+// beginExchange begins an exchange. It returns false if the connection is unusable, also if it has received
+// data since the last response that its reader has not been scheduled to read yet.
+func (w *wire) beginExchange() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.broken || w.phase != phaseIdle || receivedMore(w.Conn, w.received) {
+	if w.broken || w.phase != phaseIdle || hasUnread(w.Conn, w.received) {
 		return false
 	}
 	w.phase = phaseExchange
@@ -53,26 +53,26 @@
 	return true
 }
 
-// settle ends an exchange after the clean end of its answer.
-func (w *wire) settle() {
+// endExchange ends an exchange after a complete response.
+func (w *wire) endExchange() {
 	w.mu.Lock()
 	if w.phase != phaseExchange {
 		w.mu.Unlock()
 		return
 	}
-	w.phase = phaseSettling
+	w.phase = phaseEnding
 	ready := w.reading
 	if ready {
 		w.phase = phaseIdle
 	}
 	w.mu.Unlock()
 	if ready {
-		w.quiet()
+		w.onIdle()
 	}
 }
 
-// seal forbids further writes and reports whether no write of this exchange was begun. After true no
-// byte of the request is sent.
+// seal forbids further writes and reports whether no write of this exchange was begun. If so, no byte of
+// the request will be sent.
 func (w *wire) seal() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,25 +82,28 @@
 
 // Read implements net.Conn.
 func (w *wire) Read(p []byte) (int, error) {
-	w.enterRead()
+	w.beginRead()
 	n, err := w.Conn.Read(p)
-	return w.leaveRead(n, err)
+	return w.endRead(n, err)
 }
 
-func (w *wire) enterRead() {
+// beginRead marks a read as pending, which completes the end of an exchange.
+func (w *wire) beginRead() {
 	w.mu.Lock()
 	w.reading = true
-	settled := w.phase == phaseSettling
-	if settled {
+	ended := w.phase == phaseEnding
+	if ended {
 		w.phase = phaseIdle
 	}
 	w.mu.Unlock()
-	if settled {
-		w.quiet()
+	if ended {
+		w.onIdle()
 	}
 }
 
-func (w *wire) leaveRead(n int, err error) (int, error) {
+// endRead checks the result of a read: data that arrives before a request is written breaks the
+// connection.
+func (w *wire) endRead(n int, err error) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reading = false
@@ -120,7 +123,7 @@
 	w.mu.Lock()
 	if w.phase != phaseExchange {
 		w.mu.Unlock()
-		return 0, errSealed
+		return 0, errNoExchange
 	}
 	w.wrote = true
 	w.mu.Unlock()
@@ -130,6 +133,6 @@
 // Close implements net.Conn.
 func (w *wire) Close() error {
 	err := w.Conn.Close()
-	w.closed()
+	w.onClose()
 	return err
 }
--- a/internal/targetconn/wire_test.go
+++ b/internal/targetconn/wire_test.go
@@ -7,30 +7,31 @@
 	"testing/synctest"
 )
 
-// newWire returns a wire in an exchange over a pipe, and the target's end.
-func newWire(t *testing.T) (w *wire, target net.Conn, quiet *int) {
+// newWire returns a wire with an exchange begun, the target's end of its pipe, and
+// the number of calls of onIdle.
+func newWire(t *testing.T) (w *wire, target net.Conn, idleCalls *int) {
 	t.Helper()
 	near, far := net.Pipe()
-	quiet = new(int)
-	w = &wire{Conn: near, quiet: func() { *quiet++ }, closed: func() {}}
-	if !w.begin() {
-		t.Fatal("a new wire can't begin")
+	idleCalls = new(int)
+	w = &wire{Conn: near, onIdle: func() { *idleCalls++ }, onClose: func() {}}
+	if !w.beginExchange() {
+		t.Fatal("a new wire can't begin an exchange")
 	}
 	t.Cleanup(func() { _ = near.Close(); _ = far.Close() })
-	return w, far, quiet
+	return w, far, idleCalls
 }
 
-func TestWireIsQuietOnlyWhenTheReaderCameBack(t *testing.T) {
+func TestWireIsIdleOnceReaderWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, _, quiet := newWire(t)
-		w.settle()
-		if *quiet != 0 || w.begin() {
-			t.Fatal("the wire is in use again though its reader may hold more bytes")
+		w, _, idleCalls := newWire(t)
+		w.endExchange()
+		if *idleCalls != 0 || w.beginExchange() {
+			t.Fatal("an exchange could begin although the reader may have buffered more data")
 		}
 		go func() { _, _ = w.Read(make([]byte, 1)) }()
 		synctest.Wait()
-		if *quiet != 1 || !w.begin() {
-			t.Error("the wire stays unused though its reader waits for bytes")
+		if *idleCalls != 1 || !w.beginExchange() {
+			t.Error("no exchange could begin although the reader waits for data")
 		}
 		_ = w.Conn.Close()
 	})
@@ -38,9 +39,9 @@
 
 func TestWireDropsBytesNobodyAskedFor(t *testing.T) {
 	tests := map[string]func(w *wire){
-		"between exchanges":       func(w *wire) { w.settle() },
-		"before the next request": func(w *wire) { w.settle(); w.begin() },
-		"before the first one":    func(*wire) {},
+		"between exchanges":        func(w *wire) { w.endExchange() },
+		"before the next request":  func(w *wire) { w.endExchange(); w.beginExchange() },
+		"before the first request": func(*wire) {},
 	}
 	for name, prepare := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -56,8 +57,8 @@
 				if n != 0 || !errors.Is(err, errUnsolicited) {
 					t.Errorf("read %d bytes, error %v", n, err)
 				}
-				if w.begin() {
-					t.Error("the wire is used on")
+				if w.beginExchange() {
+					t.Error("an exchange could begin after unsolicited data")
 				}
 			})
 		})
