--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon assembles the services of one VM.
+// Package daemon assembles the services that run on one VM.
 package daemon
 
 import (
@@ -17,39 +17,39 @@
 	"masticturn/internal/telemetry"
 )
 
-// DialFunc opens a connection; benches put delays and faults there.
+// DialFunc opens a connection. Benchmarks inject delays and faults with it.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
 // ListenFunc opens a listener.
 type ListenFunc = func(network, address string) (net.Listener, error)
 
-// Options are what a daemon takes besides its settings. All are optional.
+// Options configures a daemon in addition to its settings. All fields are optional.
 type Options struct {
-	Logger *telemetry.Logger // nil: no log
-	Clock  kernel.Clock      // nil: the machine's
-	Boot   kernel.BootClock  // nil: the machine's
+	Logger *telemetry.Logger // nil: nothing is logged
+	Clock  kernel.Clock      // nil: the system clock
+	Boot   kernel.BootClock  // nil: the system's boot clock
 	Store  platform.Store    // nil: an HTTP client of settings.Platform
-	Dial   DialFunc          // nil: a plain net.Dialer; used towards peers, targets and the platform
+	Dial   DialFunc          // nil: a net.Dialer with keepAlive; used for peers, targets and the platform
 	Listen ListenFunc        // nil: net.Listen
-	// Metrics takes the metrics of the daemon; nil: a set of its own.
+	// Metrics is the set in which the daemon registers its metrics; nil: a new set.
 	Metrics *metrics.Set
-	// Hosted makes the daemon run on a platform; nil: it stands alone.
+	// Hosted makes the daemon run on a platform; nil: the daemon runs standalone.
 	Hosted *Hosted
 }
 
-// Daemon is the system on one VM.
+// Daemon runs the services of one VM.
 type Daemon struct {
-	settings    *settings.Settings
-	opts        Options
-	incarnation uint64
-	kernel      *kernel.Kernel
-	listeners   listeners
-	drainOnce   sync.Once
-	drainAsk    chan struct{}
+	settings       *settings.Settings
+	opts           Options
+	incarnation    uint64
+	kernel         *kernel.Kernel
+	listeners      listeners
+	drainOnce      sync.Once
+	drainRequested chan struct{}
 }
 
-// New opens the listeners of a daemon and registers its services. Nothing runs
-// before Start. The error names the address that could not be opened.
+// New opens the listeners of a daemon and registers its services, which run only
+// after Start. If a listener can't be opened, the error names its address.
 func New(s *settings.Settings, opts Options) (*Daemon, error) {
 	if opts.Clock == nil {
 		opts.Clock = kernel.SystemClock{}
@@ -74,12 +74,12 @@
 		return nil, err
 	}
 	d := &Daemon{
-		settings:    s,
-		opts:        opts,
-		incarnation: membership.NewIncarnation(time.Now()),
-		kernel:      kernel.New(opts.Clock),
-		listeners:   l,
-		drainAsk:    make(chan struct{}),
+		settings:       s,
+		opts:           opts,
+		incarnation:    membership.NewIncarnation(time.Now()),
+		kernel:         kernel.New(opts.Clock),
+		listeners:      l,
+		drainRequested: make(chan struct{}),
 	}
 	for _, m := range d.modules() {
 		if err := d.kernel.Register(m); err != nil {
@@ -89,14 +89,14 @@
 	return d, nil
 }
 
-// Keep-alive probes of connections: one that a peer or a link has lost track
-// of is noticed within three seconds, without a message of our own.
+// keepAlive configures TCP keep-alive probes. They detect within three seconds that
+// the peer or the network has lost a connection, also while no messages are sent.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
 func newDialer() *net.Dialer { return &net.Dialer{KeepAliveConfig: keepAlive} }
 
-// Start starts all services. When it returns nil the listeners serve; readiness
-// to be given callers is a matter of PathReadyz.
+// Start starts all services. If it returns nil, the listeners serve. PathReadyz
+// reports whether callers may be sent to this VM.
 func (d *Daemon) Start(ctx context.Context) error {
 	if err := d.kernel.Start(ctx); err != nil {
 		return trace.NewAggregate(err, d.listeners.close())
@@ -110,8 +110,9 @@
 	return nil
 }
 
-// Reloaded takes the settings as they were read again. All of them are fixed
-// when a process starts, so that what differs is told and takes a restart.
+// Reloaded logs which sections of reloaded settings differ from those in force, or
+// the error of reading them. It applies nothing: all settings are fixed when the
+// process starts, and changes need a restart.
 func (d *Daemon) Reloaded(s *settings.Settings, err error) {
 	if err != nil {
 		d.opts.Logger.Log(eventReloadFailed, telemetry.Err(err))
@@ -120,25 +121,26 @@
 	d.opts.Logger.Log(eventReloaded, telemetry.Value("changed", d.settings.Differences(s)))
 }
 
-// RequestDrain asks the program that runs the daemon to drain it.
-func (d *Daemon) RequestDrain() { d.drainOnce.Do(func() { close(d.drainAsk) }) }
+// RequestDrain asks the program that runs the daemon to drain it. Only the first call
+// has an effect.
+func (d *Daemon) RequestDrain() { d.drainOnce.Do(func() { close(d.drainRequested) }) }
 
-// DrainRequested is closed once a drain was asked for by RequestDrain.
-func (d *Daemon) DrainRequested() <-chan struct{} { return d.drainAsk }
+// DrainRequested returns a channel that RequestDrain closes.
+func (d *Daemon) DrainRequested() <-chan struct{} { return d.drainRequested }
 
-// draining reports whether a drain was asked for or runs.
-func (d *Daemon) draining() bool {
+// isDraining reports whether a drain was requested or is in progress.
+func (d *Daemon) isDraining() bool {
 	select {
-	case <-d.drainAsk:
+	case <-d.drainRequested:
 		return true
 	default:
 		return false
 	}
 }
 
-// Drain leaves the fleet without cutting a request: look-ups stop naming this
-// VM, and it serves on until the last cached look-up has expired and nothing
-// is in flight. It returns early when the context is done.
+// Drain leaves the fleet without aborting requests: look-ups stop naming this VM,
+// which continues to serve until the last cached look-up has expired and no request
+// is in flight. It returns early if the context is done.
 func (d *Daemon) Drain(ctx context.Context) error {
 	d.RequestDrain()
 	started := time.Now()
@@ -148,7 +150,7 @@
 	return err
 }
 
-// Stop ends all services at once.
+// Stop stops all services immediately.
 func (d *Daemon) Stop(ctx context.Context) error {
 	return trace.NewAggregate(d.kernel.Stop(ctx), d.listeners.close())
 }
@@ -156,14 +158,14 @@
 // Metrics returns the metrics of this daemon.
 func (d *Daemon) Metrics() *metrics.Set { return d.opts.Metrics }
 
-// Kernel returns the kernel, to look services up by name in tests and benches.
+// Kernel returns the kernel, so that tests and benchmarks can look up services by name.
 func (d *Daemon) Kernel() *kernel.Kernel { return d.kernel }
 
-// CallerAddress returns host:port of the callers' listener.
+// CallerAddress returns the host:port of the callers' listener.
 func (d *Daemon) CallerAddress() string { return d.listeners.callers.Addr().String() }
 
-// PeerAddress returns host:port of the peers' listener.
+// PeerAddress returns the host:port of the peers' listener.
 func (d *Daemon) PeerAddress() string { return d.listeners.peers.Addr().String() }
 
-// OperatorAddress returns host:port of the operators' listener.
+// OperatorAddress returns the host:port of the operators' listener.
 func (d *Daemon) OperatorAddress() string { return d.listeners.operators.Addr().String() }
--- a/internal/daemon/events.go
+++ b/internal/daemon/events.go
@@ -18,28 +18,28 @@
 		Number:  telemetry.RangeKernel + 2,
 		Level:   logrus.InfoLevel,
 		Name:    "drain started",
-		Meaning: "A planned stop began: look-ups stop naming this VM, requests in flight go on.",
-		Action:  "None. The next event tells when it is over.",
+		Meaning: "A planned stop began: look-ups stop naming this VM, and requests in flight continue.",
+		Action:  "None. Event 1003 reports the end.",
 	})
 	eventReloaded = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeKernel + 4,
 		Level:   logrus.InfoLevel,
-		Name:    "settings read again",
-		Meaning: "The settings file was read on SIGHUP; changed names the sections that differ from those in force.",
-		Action:  "When a section is named, restart the process to put it in force.",
+		Name:    "settings reloaded",
+		Meaning: "The settings file was reread on SIGHUP. Changed lists the sections that differ from the settings in force; they are not applied.",
+		Action:  "If sections are listed, restart the process to apply them.",
 	})
 	eventReloadFailed = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeKernel + 5,
 		Level:   logrus.ErrorLevel,
-		Name:    "settings not readable",
-		Meaning: "The settings file could not be read on SIGHUP. Those in force stay so.",
+		Name:    "settings reload failed",
+		Meaning: "The settings file could not be read on SIGHUP. The settings in force stay unchanged.",
 		Action:  "Correct the settings file; the error names the field.",
 	})
 	eventDrained = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeKernel + 3,
 		Level:   logrus.InfoLevel,
 		Name:    "drain ended",
-		Meaning: "Nothing is in flight any more; the process ends.",
-		Action:  "None. If it took long, look at took_ms and at the uploads of that time.",
+		Meaning: "No requests are in flight any more; the process exits.",
+		Action:  "None. If took_ms is large, check for long uploads during the drain.",
 	})
 )
--- a/internal/daemon/events_test.go
+++ b/internal/daemon/events_test.go
@@ -9,7 +9,7 @@
 
 const eventsPage = "../../docs/EVENTS.md"
 
-// TestEventsPage compares the page with the catalogue of all packages that are
+// TestEventsPage checks that docs/EVENTS.md lists the events of all packages that are
 // linked into a daemon.
 func TestEventsPage(t *testing.T) {
 	page, err := os.ReadFile(eventsPage)
@@ -21,10 +21,10 @@
 	}
 }
 
-func TestEventsSayWhatToDo(t *testing.T) {
+func TestEventsAreDocumented(t *testing.T) {
 	for _, e := range telemetry.Catalogue() {
 		if e.Name == "" || e.Meaning == "" || e.Action == "" {
-			t.Errorf("event %d lacks its text, meaning or action", e.Number)
+			t.Errorf("event %d has no name, meaning or action", e.Number)
 		}
 	}
 }
--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -27,36 +27,38 @@
 	"masticturn/internal/settings"
 )
 
-// errNoDocument says why a daemon on a platform is not ready.
+// errNoDocument is the reason why a daemon on a platform is not ready.
 var errNoDocument = trace.ConnectionProblem(nil, "no document is in force yet")
 
-// Hosted makes a daemon run on a platform that keeps document and targets,
-// instead of on the system's own document.
+// Hosted configures a daemon that runs on a platform, which stores the document and
+// the targets, instead of using the system's own document.
 type Hosted struct {
 	Decoder discovery.Decoder
 	Dialect *edge.Dialect
 	Names   entry.Names
-	Policy  placement.Policy // how targets are chosen
+	Policy  placement.Policy // for choosing targets
 }
 
-// lookupMaxAge is how long callers keep a look-up on a platform, if they may. A VM that
-// dies is noticed within about three seconds; callers pass over VMs that fail
-// them, so that longer would gain little and shorter only cost look-ups.
-const lookupMaxAge = 2 * time.Second
+// defaultLookupMaxAge is how long callers may cache a look-up on a platform, unless the
+// deployment requires less. The failure of a VM is detected within about three seconds, and
+// callers skip VMs that fail. A longer time would thus gain little, and a shorter one would
+// only cost look-ups.
+const defaultLookupMaxAge = 2 * time.Second
 
-func lookupAge(b settings.Bounds) time.Duration {
+// lookupMaxAge returns how long callers may cache a look-up.
+func lookupMaxAge(b settings.Bounds) time.Duration {
 	if b.LookupMaxAge == 0 {
-		return lookupMaxAge
+		return defaultLookupMaxAge
 	}
-	return min(lookupMaxAge, b.LookupMaxAge)
+	return min(defaultLookupMaxAge, b.LookupMaxAge)
 }
 
-// hostedRegionAfter is when members of a region that is silent are no longer
-// named to callers: some beats longer than a VM's.
-const hostedRegionAfter = 4 * time.Second
+// hostedRegionTimeout is how long a region must be silent until its members are no longer
+// named to callers. It is a few heartbeats longer than the time for a single VM.
+const hostedRegionTimeout = 4 * time.Second
 
-// hostedJoinInterval is the time between attempts to join: the seeds may start a
-// little later than this VM, and nothing is served before it has joined.
+// hostedJoinInterval is the time between attempts to join. It is short because the seeds
+// may start shortly after this VM, which serves nothing before it has joined.
 const hostedJoinInterval = 100 * time.Millisecond
 
 // hostedModules lists the services of a daemon on a platform.
@@ -82,7 +84,7 @@
 	if d.opts.Hosted == nil {
 		return membership.Options{}
 	}
-	return membership.Options{RegionAfter: hostedRegionAfter, JoinInterval: hostedJoinInterval}
+	return membership.Options{RegionAfter: hostedRegionTimeout, JoinInterval: hostedJoinInterval}
 }
 
 func (d *Daemon) newRegistrar(w *wiring) (kernel.Service, error) {
@@ -112,7 +114,7 @@
 		FirstStart:   d.settings.Peers.FirstStart,
 		RegionByZone: d.settings.Places,
 		Bounds:       d.settings.Bounds,
-		Shares:       func() (config.Fleet, config.Retry) { return sharesOf(w.members.View(), d.settings.Bounds) },
+		Shares:       func() (config.Fleet, config.Retry) { return computeShares(w.members.View(), d.settings.Bounds) },
 		Clock:        d.opts.Clock,
 		Boot:         d.opts.Boot,
 		Logger:       d.opts.Logger,
@@ -122,28 +124,28 @@
 	return s, nil
 }
 
-// Shares of what binds all VMs together: a target's connections and the retry
-// budget. A VM keeps the budget's ratio on its own requests, so that the sum keeps
-// it; the slack is divided by the VMs there may be.
+// Parameters of this VM's share of limits that hold for the whole fleet: the connections of
+// a target and the retry budget. Each VM applies the budget's ratio to its own requests, so
+// that the fleet as a whole keeps it. The slack is divided by the number of VMs there may be.
 const (
-	retryRatioShare = 0.75 // of the ratio: requests of a window and retries of the next differ
-	retryBackoff    = 1    // ms: another target is tried at once
-	// leastFleet is how many VMs are counted with at least: twice a small fleet of
-	// ten, as this VM may not see all of them.
-	leastFleet = 20
-	// fleetGrowth is how many more VMs than this one sees are counted with.
-	fleetGrowth = 1.25
+	retryRatioFactor = 0.75 // part of the ratio used, as the requests of a window and the retries of the next differ
+	retryBackoffMS   = 1    // minimal, as the retry uses another target
+	// minFleetSize is the smallest number of VMs by which limits are divided. It is twice a
+	// small fleet of ten, as this VM may not know all of its members.
+	minFleetSize = 20
+	// fleetGrowthFactor is the factor by which the fleet may be larger than this VM knows.
+	fleetGrowthFactor = 1.25
 )
 
-// sharesOf returns the bounds on the fleet and this VM's share of the retry
-// budget. One retry may always be saved up: deployments state a slack of about two
-// for each VM.
-func sharesOf(v *membership.View, b settings.Bounds) (config.Fleet, config.Retry) {
-	vms := max(leastFleet, int(fleetGrowth*float64(len(v.Members))))
+// computeShares returns the assumed maximum size of the fleet and this VM's share of the
+// retry budget. The burst is at least one retry, which the slack covers, as deployments
+// configure about two for each VM.
+func computeShares(v *membership.View, b settings.Bounds) (config.Fleet, config.Retry) {
+	vms := max(minFleetSize, int(fleetGrowthFactor*float64(len(v.Members))))
 	return config.Fleet{MaxVMs: vms, MaxVMsPerRegion: vms}, config.Retry{
-		BudgetFraction: retryRatioShare * b.RetryRatio,
+		BudgetFraction: retryRatioFactor * b.RetryRatio,
 		BudgetBurst:    max(1, b.RetrySlack/float64(vms)),
-		BackoffMS:      retryBackoff,
+		BackoffMS:      retryBackoffMS,
 		Patient:        true,
 	}
 }
@@ -171,7 +173,7 @@
 		Members:      w.members,
 		RegionByZone: d.settings.Places,
 		Serving:      func() (bool, string) { return w.discovery.View() != nil, "no document is in force yet" },
-		MaxAge:       lookupAge(d.settings.Bounds),
+		MaxAge:       lookupMaxAge(d.settings.Bounds),
 		Logger:       d.opts.Logger,
 	}), nil
 }
@@ -215,6 +217,7 @@
 	}), nil
 }
 
+// countRegions returns the number of regions in a map from availability zones to regions.
 func countRegions(places map[string]string) int {
 	regions := make(map[string]bool)
 	for _, region := range places {
@@ -227,9 +230,9 @@
 	handler := forward.NewHandler(forward.Deps{
 		Config:    w.discovery,
 		Admission: w.admitter,
-		Expected:  expectedBy(w.admitter),
-		Locator:   fixedPlace{Region: d.settings.VM.Region, Zone: d.settings.VM.Zone},
-		Measure:   noObserver{},
+		Expected:  expectedTargets(w.admitter),
+		Locator:   fixedLocator{Region: d.settings.VM.Region, Zone: d.settings.VM.Zone},
+		Measure:   discardObserver{},
 		Screen:    w.quarantine,
 		KeyGuard:  w.keyGuard,
 		Limiter:   w.limiter,
@@ -248,9 +251,9 @@
 	}), nil
 }
 
-// expectedBy returns how an admitter tells which targets to connect to ahead of
-// requests; nil when it does not know.
-func expectedBy(a admission.Admitter) func() []*config.TargetIndex {
+// expectedTargets returns the admitter's function that lists the targets to which
+// connections should be opened ahead of requests, or nil if it has none.
+func expectedTargets(a admission.Admitter) func() []*config.TargetIndex {
 	if e, ok := a.(admission.Expecter); ok {
 		return e.Expected
 	}
@@ -260,7 +263,7 @@
 func (d *Daemon) newHostedDrain(w *wiring) (kernel.Service, error) {
 	return drain.NewService(drain.Deps{
 		Members:   leaver{w.members, w.entry},
-		Callers:   w.callers,
+		Callers:   w.forwarder,
 		Config:    w.discovery,
 		StopGrace: d.settings.Bounds.StopGrace,
 		Clock:     d.opts.Clock,
@@ -282,7 +285,7 @@
 	}), nil
 }
 
-// leaver takes this VM out of look-ups and readiness.
+// leaver removes this VM from look-ups and makes it report that it is not ready.
 type leaver struct {
 	members *membership.Service
 	entry   *entry.Service
@@ -294,16 +297,16 @@
 	return l.members.Leave(ctx)
 }
 
-// fixedPlace places every caller where this VM is: look-ups by place have sent
+// fixedLocator locates every caller at the place of this VM, as look-ups by place have sent
 // it here.
-type fixedPlace lookup.Place
+type fixedLocator lookup.Place
 
 // Locate implements lookup.Locator.
-func (p fixedPlace) Locate(netip.Addr) lookup.Place { return lookup.Place(p) }
+func (p fixedLocator) Locate(netip.Addr) lookup.Place { return lookup.Place(p) }
 
-// noObserver drops what targets say of themselves: placement learns it from
-// results.
-type noObserver struct{}
+// discardObserver ignores the load and state that targets report. Placement learns them
+// from the results of requests.
+type discardObserver struct{}
 
 // Observe implements forward.Observer.
-func (noObserver) Observe(measure.Observation) {}
+func (discardObserver) Observe(measure.Observation) {}
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -9,13 +9,16 @@
 	"masticturn/internal/settings"
 )
 
-// listeners are opened before any service starts, so that a daemon knows its
-// addresses when it joins the others, and a busy port is told at once.
+// listeners holds the listeners of a daemon. They are opened before any service starts,
+// so that the daemon knows its addresses when it joins the fleet, and that a port in use
+// is reported immediately.
 type listeners struct {
 	callers, peers, operators net.Listener
-	ready, lookup             net.Listener // nil where the settings name no address
+	ready, lookup             net.Listener // nil if the settings have no address
 }
 
+// openListeners opens the listeners that the settings name. On an error it closes those
+// already open.
 func openListeners(l settings.Listen, listen ListenFunc) (listeners, error) {
 	var opened listeners
 	for _, want := range []struct {
@@ -42,8 +45,8 @@
 	return opened, nil
 }
 
-// close closes what is open. Listeners that their service has closed already
-// are no error.
+// close closes all open listeners. It ignores those that their services have already
+// closed.
 func (l listeners) close() error {
 	var errs []error
 	for _, listener := range []net.Listener{l.callers, l.peers, l.operators, l.ready, l.lookup} {
--- a/internal/daemon/modules.go
+++ b/internal/daemon/modules.go
@@ -23,10 +23,10 @@
 	"masticturn/platform/store"
 )
 
-// storeName is the name of the platform's store in the kernel.
+// storeName is the kernel's service name of the platform's store.
 const storeName = "platform.store"
 
-// modules lists the services of a daemon. Each finds what it requires by name.
+// modules lists the services of a daemon with the names of the services that each requires.
 func (d *Daemon) modules() []kernel.Module {
 	if d.opts.Hosted != nil {
 		return d.hostedModules()
@@ -43,23 +43,22 @@
 		module(quarantine.ServiceName, d.newQuarantine, peer.ServiceName, storeName, membership.ServiceName),
 		module(forward.ServiceName, d.newForward, confsync.ServiceName, measure.ServiceName, idempotency.ServiceName, lookup.ServiceName, admission.ServiceName, quarantine.ServiceName),
 		module(operator.ServiceName, d.newOperator, storeName, membership.ServiceName, confsync.ServiceName, measure.ServiceName, forward.ServiceName),
-		// Required by none and requiring the last ones: it is drained first.
+		// No service requires it, and it requires the last ones: it is drained first.
 		module(drain.ServiceName, d.newDrain, membership.ServiceName, confsync.ServiceName, forward.ServiceName, operator.ServiceName),
 	}
 }
 
-// wiring are the services that a module requires; those it does not require
-// are nil.
+// wiring holds the services that a module requires. The others are nil.
 type wiring struct {
-	store    platform.Store
-	network  peer.Network
-	members  *membership.Service
-	config   *confsync.Service
-	targets  measure.Source
-	keys     *idempotency.Keys
-	places   *lookup.Service
-	admitter admission.Admitter
-	callers  *forward.Service
+	store     platform.Store
+	network   peer.Network
+	members   *membership.Service
+	config    *confsync.Service
+	targets   measure.Source
+	keys      *idempotency.Keys
+	lookups   *lookup.Service
+	admitter  admission.Admitter
+	forwarder *forward.Service
 
 	quarantine quarantine.Screen
 	keyGuard   *customer.Guard
@@ -69,12 +68,12 @@
 	entry     *entry.Service
 }
 
-// module describes a service that is built from the services it requires.
+// module returns a module whose service is built from the services it requires.
 func module(name string, build func(w *wiring) (kernel.Service, error), requires ...string) kernel.Module {
 	return kernel.Module{Name: name, Requires: requires, New: func(k *kernel.Kernel) (kernel.Service, error) {
 		w := &wiring{}
-		for _, need := range requires {
-			if err := w.find(k, need); err != nil {
+		for _, required := range requires {
+			if err := w.find(k, required); err != nil {
 				return nil, err
 			}
 		}
@@ -82,7 +81,7 @@
 	}}
 }
 
-// find looks a service up by its name.
+// find looks up a service by name and sets the field that holds it.
 func (w *wiring) find(k *kernel.Kernel, name string) error {
 	switch name {
 	case storeName:
@@ -98,11 +97,11 @@
 	case idempotency.ServiceName:
 		return find(k, name, &w.keys)
 	case lookup.ServiceName:
-		return find(k, name, &w.places)
+		return find(k, name, &w.lookups)
 	case admission.ServiceName:
 		return find(k, name, &w.admitter)
 	case forward.ServiceName:
-		return find(k, name, &w.callers)
+		return find(k, name, &w.forwarder)
 	case ratelimit.ServiceName:
 		return find(k, name, &w.limiter)
 	case customer.GuardName:
@@ -114,7 +113,7 @@
 	case entry.ServiceName:
 		return find(k, name, &w.entry)
 	}
-	return nil // required for the order only
+	return nil // required only for the order
 }
 
 func find[T any](k *kernel.Kernel, name string, into *T) error {
@@ -125,7 +124,7 @@
 
 func (d *Daemon) newStore(*wiring) (kernel.Service, error) {
 	if d.opts.Store != nil {
-		return &givenStore{Store: d.opts.Store}, nil
+		return &providedStore{Store: d.opts.Store}, nil
 	}
 	p := d.settings.Platform
 	return store.NewClient(store.ClientOptions{
@@ -139,8 +138,8 @@
 	})
 }
 
-// watchTimeouts returns how long the store may hold a watch of the kinds whose
-// news must be known in time.
+// watchTimeouts returns how long the store may hold a watch, for the kinds whose changes
+// must be known within a given time.
 func (d *Daemon) watchTimeouts() map[platform.Kind]time.Duration {
 	if d.opts.Hosted == nil {
 		return nil
@@ -164,7 +163,7 @@
 	})
 }
 
-// self is this daemon as the others shall know it.
+// self returns the entry of this daemon in the fleet's membership.
 func (d *Daemon) self() membership.Member {
 	return membership.Member{
 		Name:          d.settings.VM.Name,
@@ -263,7 +262,7 @@
 	handler := forward.NewHandler(forward.Deps{
 		Config:    w.config,
 		Admission: w.admitter,
-		Locator:   w.places,
+		Locator:   w.lookups,
 		Measure:   w.targets,
 		Keys:      w.keys,
 		Screen:    w.quarantine,
@@ -275,7 +274,7 @@
 	})
 	return forward.NewService(forward.ServiceDeps{
 		Handler:  handler,
-		Lookup:   w.places,
+		Lookup:   w.lookups,
 		Listener: d.listeners.callers,
 		Config:   w.config,
 		Logger:   d.opts.Logger,
@@ -300,7 +299,7 @@
 func (d *Daemon) newDrain(w *wiring) (kernel.Service, error) {
 	return drain.NewService(drain.Deps{
 		Members: w.members,
-		Callers: w.callers,
+		Callers: w.forwarder,
 		Config:  w.config,
 		Clock:   d.opts.Clock,
 		Logger:  d.opts.Logger,
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -26,18 +26,18 @@
 	return server, nil
 }
 
-// ready returns nil when callers may be sent here, else why not.
+// ready returns nil if callers may be sent to this VM, or else the reason why not.
 func (w *wiring) ready() error {
 	if !w.members.Ready() {
-		return trace.ConnectionProblem(nil, "this daemon has not joined the others yet")
+		return trace.ConnectionProblem(nil, "this daemon has not joined the fleet yet")
 	}
 	return w.config.Ready()
 }
 
-// mounts lists what is served on the operators' listener behind the token.
+// mounts lists the handlers on the operators' listener that require the token.
 func (d *Daemon) mounts(w *wiring, checkToken func(string) bool) []operator.Mount {
-	documents := configapi.New(w.config, w.members)
-	health, _ := w.store.(statusapi.StoreHealth) // a store given by a test has none
+	configs := configapi.New(w.config, w.members)
+	health, _ := w.store.(statusapi.StoreHealth) // a store provided by a test does not implement it
 	status := statusapi.New(statusapi.Deps{
 		VM:       d.settings.VM,
 		Clock:    d.opts.Clock,
@@ -46,31 +46,31 @@
 		Targets:  w.targets,
 		Store:    health,
 		Ready:    w.ready,
-		InFlight: w.callers.InFlight,
-		Draining: d.draining,
+		InFlight: w.forwarder.InFlight,
+		Draining: d.isDraining,
 		Drain:    d.RequestDrain,
 	})
-	forms := console.New(console.Deps{
+	pages := console.New(console.Deps{
 		Documents:  w.config,
 		History:    console.StoredHistory{Repository: w.config.Repository()},
 		CheckToken: checkToken,
-		InForce:    documents.InForce,
+		InForce:    configs.InForce,
 		Status:     status.Status,
 		Policies:   policyNames(),
 		Clock:      d.opts.Clock,
 		Logger:     d.opts.Logger,
 	})
-	api, state := documents.Handler(), status.Handler()
+	configHandler, statusHandler := configs.Handler(), status.Handler()
 	return []operator.Mount{
-		{Pattern: edge.PathConsole, Handler: forms.Handler(), OwnLogin: true},
-		{Pattern: edge.PathOperatorConfig, Handler: api},
-		{Pattern: edge.PathOperatorConfig + "/", Handler: api},
-		{Pattern: edge.PathOperatorStatus, Handler: state},
-		{Pattern: edge.PathOperatorDrain, Handler: state},
+		{Pattern: edge.PathConsole, Handler: pages.Handler(), OwnLogin: true},
+		{Pattern: edge.PathOperatorConfig, Handler: configHandler},
+		{Pattern: edge.PathOperatorConfig + "/", Handler: configHandler},
+		{Pattern: edge.PathOperatorStatus, Handler: statusHandler},
+		{Pattern: edge.PathOperatorDrain, Handler: statusHandler},
 	}
 }
 
-// policyNames lists the policies of target choice.
+// policyNames returns the names of the policies for choosing targets.
 func policyNames() []string {
 	var names []string
 	for _, p := range steering.Policies() {
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -7,21 +7,21 @@
 	"masticturn/internal/platform"
 )
 
-// givenStore is a store given by a test or bench as a service.
-type givenStore struct {
+// providedStore makes a store that is provided in Options a service.
+type providedStore struct {
 	platform.Store
 }
 
-var _ kernel.Service = (*givenStore)(nil)
+var _ kernel.Service = (*providedStore)(nil)
 
 // Provision implements kernel.Service.
-func (*givenStore) Provision(*kernel.Kernel) error { return nil }
+func (*providedStore) Provision(*kernel.Kernel) error { return nil }
 
 // Start implements kernel.Service.
-func (*givenStore) Start(context.Context) error { return nil }
+func (*providedStore) Start(context.Context) error { return nil }
 
 // Drain implements kernel.Service.
-func (*givenStore) Drain(context.Context) error { return nil }
+func (*providedStore) Drain(context.Context) error { return nil }
 
 // Stop implements kernel.Service.
-func (*givenStore) Stop(context.Context) error { return nil }
+func (*providedStore) Stop(context.Context) error { return nil }
