--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -198,9 +198,9 @@
 
 // failCalls fails the waiting calls that were sent on a connection, or those in
 // the backlog if it is nil. The caller must hold l.mu.
-func (l *link) failCalls(conn *conn, err error) {
+func (l *link) failCalls(owner *conn, err error) {
 	for id, c := range l.calls {
-		if c.conn == conn {
+		if c.conn == owner {
 			_, _ = l.removeCall(id)
 			c.done <- result{err: err}
 		}
