--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -7,31 +7,31 @@
 	"masticturn/internal/settings"
 )
 
-func benchPair(b *testing.B) *TCP {
-	x, y := listenTCP(b, "x", settings.TLS{}), listenTCP(b, "y", settings.TLS{})
+func startBenchmarkPair(b *testing.B) *TCP {
+	x, y := startTCP(b, "x", settings.TLS{}), startTCP(b, "y", settings.TLS{})
 	x.SetAddress("y", y.Address())
 	return x
 }
 
 func BenchmarkCall(b *testing.B) {
-	x := benchPair(b)
+	x := startBenchmarkPair(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		var answer message
-		if err := x.Call(context.Background(), "y", KindPermit, &message{1, "req-123456"}, &answer); err != nil {
+		var resp message
+		if err := x.Call(context.Background(), "y", KindPermit, &message{1, "req-123456"}, &resp); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
 func BenchmarkCallParallel(b *testing.B) {
-	x := benchPair(b)
+	x := startBenchmarkPair(b)
 	b.ReportAllocs()
 	b.SetParallelism(16)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			var answer message
-			if err := x.Call(context.Background(), "y", KindPermit, &message{1, "req-123456"}, &answer); err != nil {
+			var resp message
+			if err := x.Call(context.Background(), "y", KindPermit, &message{1, "req-123456"}, &resp); err != nil {
 				b.Error(err)
 				return
 			}
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -9,8 +9,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Encode returns v in msgpack. Structs travel as arrays of their fields in
-// order, without names: a new field goes to the end, none is removed.
+// Encode encodes v as msgpack. Structs are encoded as arrays of their fields in
+// declaration order, without field names: append new fields at the end and
+// never remove one.
 func Encode(v any) ([]byte, error) {
 	e := getEncoder()
 	defer e.release()
@@ -20,13 +21,13 @@
 	return slices.Clone(e.buf.Bytes()), nil
 }
 
-// Decode reads a payload into v.
+// Decode decodes a msgpack payload into v.
 func Decode(payload []byte, v any) error {
 	return trace.Wrap(msgpack.Unmarshal(payload, v), "decode message")
 }
 
-// encoders holds encoders with their buffers, to be reused.
-var encoders = sync.Pool{New: func() any { return newEncoder() }}
+// encoderPool reuses encoders together with their buffers.
+var encoderPool = sync.Pool{New: func() any { return newEncoder() }}
 
 // encoder is a msgpack encoder with its own buffer.
 type encoder struct {
@@ -42,21 +43,21 @@
 	return e
 }
 
-func getEncoder() *encoder { return encoders.Get().(*encoder) }
+func getEncoder() *encoder { return encoderPool.Get().(*encoder) }
 
-// maxKeptBuffer is the largest buffer, in bytes, that is kept for reuse.
-const maxKeptBuffer = 64 << 10
+// maxPooledBufferBytes is the largest buffer that is returned to a pool.
+const maxPooledBufferBytes = 64 << 10
 
-// release gives the encoder back; its buffer must not be used any more.
+// release returns the encoder to the pool. Its buffer must not be used afterwards.
 func (e *encoder) release() {
-	if e.buf.Cap() > maxKeptBuffer {
+	if e.buf.Cap() > maxPooledBufferBytes {
 		return
 	}
 	e.buf.Reset()
-	encoders.Put(e)
+	encoderPool.Put(e)
 }
 
-// encode appends v to the buffer. A nil v is an empty payload.
+// encode appends v to the buffer. A nil v is encoded as an empty payload.
 func (e *encoder) encode(v any) error {
 	if v == nil {
 		return nil
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -15,60 +15,61 @@
 	"masticturn/internal/telemetry"
 )
 
-// inboxFrames bounds the one-way messages of a connection that wait for their
-// handlers; more are dropped.
-const inboxFrames = 1024
+// inboxCapacity is the maximum number of one-way messages of a connection that
+// wait for their handlers. Messages beyond it are dropped.
+const inboxCapacity = 1024
 
-// maxSpareBytes is the largest write buffer that is kept for reuse.
-const maxSpareBytes = 256 << 10
+// maxSpareBufferBytes is the largest write buffer that a connection reuses.
+const maxSpareBufferBytes = 256 << 10
 
-// conn is one connection that stands. A reader, a writer and a goroutine for
-// one-way messages run it; calls run on the network's workers.
+// conn is an established connection. It has a reader goroutine, a writer
+// goroutine and a goroutine that handles one-way messages; calls are handled by
+// the worker pool of the network.
 type conn struct {
-	link   *link
-	sess   *session
-	remote string // VM at the other end
-	dialed bool   // by this end
-	since  time.Time
-	ctx    context.Context // done when the connection is closed; parent of the calls it brought
-	cancel context.CancelFunc
-	wake   chan struct{} // holds one: there is something to write
-	inbox  chan frame
-	unread [kinds]bool // kinds of one-way messages that could not be handled; of handleSends
-
-	received atomic.Uint32 // frames received that count for acks
-	acked    atomic.Uint32 // frames that the peer has received
-	progress atomic.Int64  // when acked rose, or frames began to wait for acks, last: ns from since; 0: not since the last check
-	used     atomic.Bool   // messages went either way since the last check
+	link            *link
+	session         *session
+	remote          string // name of the VM at the other end
+	dialed          bool   // this end opened the connection
+	since           time.Time
+	ctx             context.Context // canceled when the connection closes; parent context of calls received on it
+	cancel          context.CancelFunc
+	wake            chan struct{} // capacity 1; signals that frames are queued
+	inbox           chan frame
+	unhandledLogged [kindCount]bool // kinds whose handling failure has been logged; used by handleSends only
+
+	received       atomic.Uint32 // frames received, except pongs; sent to the peer as the ack
+	acked          atomic.Uint32 // latest ack from the peer
+	lastProgress   atomic.Int64  // time of the latest ack, or of queuing the first unacknowledged frame, in ns after since; 0 if neither happened since the last check
+	usedSinceCheck atomic.Bool   // a message was sent or received since the last check
 
 	// Guarded by link.mu.
-	out          []byte // frames to write
-	spare        []byte // buffer for the next out
+	out          []byte // frames queued for writing
+	spare        []byte // empty buffer to reuse as out
 	writing      bool
-	sent         uint32 // frames queued that count for acks
+	sent         uint32 // frames queued, except pongs
 	unackedSince time.Time
-	pinged       bool // a ping is on the way
-	pending      int  // calls that wait for answers from here
+	pingSent     bool // a ping was sent since unackedSince
+	pendingCalls int  // calls sent on this connection that await a response
 	lastUse      time.Time
 	byeSent      bool
 	byeReceived  bool
 	closed       bool
 
 	runMu   sync.Mutex
-	running map[uint32]context.CancelFunc // calls of the peer, by id
+	running map[uint32]context.CancelFunc // cancel functions of calls received from the peer, by ID
 }
 
 func newConn(l *link, s *session, dialed bool) *conn {
 	now := time.Now()
 	c := &conn{
 		link:    l,
-		sess:    s,
+		session: s,
 		remote:  s.remote.VM,
 		dialed:  dialed,
 		since:   now,
 		lastUse: now,
 		wake:    make(chan struct{}, 1),
-		inbox:   make(chan frame, inboxFrames),
+		inbox:   make(chan frame, inboxCapacity),
 		running: make(map[uint32]context.CancelFunc),
 	}
 	c.ctx, c.cancel = context.WithCancel(l.net.ctx)
@@ -79,14 +80,14 @@
 func (c *conn) run() {
 	t := c.link.net
 	t.opts.Logger.Log(eventConnected, telemetry.Peer(c.remote))
-	unhook := context.AfterFunc(t.ctx, func() { c.close(ErrClosed) })
-	defer unhook()
+	stop := context.AfterFunc(t.ctx, func() { c.close(ErrClosed) })
+	defer stop()
 	t.spawn(c.write)
 	t.spawn(c.handleSends)
 	c.close(c.read())
 }
 
-// close ends the connection once; the first cause counts.
+// close closes the connection. Calls after the first have no effect.
 func (c *conn) close(err error) {
 	c.link.mu.Lock()
 	closed := c.closed
@@ -96,8 +97,8 @@
 		return
 	}
 	c.cancel()
-	_ = c.sess.conn.Close()
-	c.link.remove(c, err)
+	_ = c.session.conn.Close()
+	c.link.detach(c, err)
 	c.report(err)
 }
 
@@ -106,45 +107,46 @@
 	event := eventClosed
 	switch {
 	case errors.Is(err, ErrSilent):
-		event = eventSilent
-		t.meters.silent.Inc()
+		event = eventConnectionSilent
+		t.counters.silent.Inc()
 	case errors.Is(err, ErrMalformed):
-		event = eventMalformed
-		t.meters.bad.Inc()
+		event = eventMalformedFrame
+		t.counters.malformed.Inc()
 	}
 	t.opts.Logger.Log(event, telemetry.Peer(c.remote), telemetry.Err(err))
 }
 
-// enqueue appends a frame to the write queue. link.mu is held.
+// enqueue appends a frame to the write queue. The caller must hold link.mu.
 func (c *conn) enqueue(typ frameType, kind Kind, id uint32, payload []byte) error {
 	if c.closed {
-		return c.link.fail(StepQueue, ErrClosed)
+		return c.link.wrapError(StepQueue, ErrClosed)
 	}
 	t := c.link.net
-	if len(c.out)+len(payload)+frameBytes > t.opts.MaxQueueBytes {
-		t.meters.dropped.Inc()
-		return c.link.fail(StepQueue, ErrQueueFull)
+	if len(c.out)+len(payload)+frameOverheadBytes > t.opts.MaxQueueBytes {
+		t.counters.dropped.Inc()
+		return c.link.wrapError(StepQueue, ErrQueueFull)
 	}
 	c.out = appendFrame(c.out, typ, kind, id, c.received.Load(), payload)
-	t.meters.out[kind].Add(frameBytes + len(payload))
+	t.counters.bytesOut[kind].Add(frameOverheadBytes + len(payload))
 	if typ != framePong {
 		c.expectAcks(1)
 	}
 	if isMessage(typ) {
-		c.used.Store(true)
+		c.usedSinceCheck.Store(true)
 	}
-	c.signal()
+	c.wakeWriter()
 	return nil
 }
 
-// adopt takes over frames that waited for the connection. link.mu is held.
-func (c *conn) adopt(frames []byte, n uint32) {
+// appendBacklog queues frames that were encoded before the connection was
+// established. The caller must hold link.mu.
+func (c *conn) appendBacklog(frames []byte, n uint32) {
 	if n == 0 {
 		return
 	}
 	c.out = append(c.out, frames...)
 	c.expectAcks(n)
-	c.signal()
+	c.wakeWriter()
 }
 
 func (c *conn) expectAcks(frames uint32) {
@@ -154,22 +156,23 @@
 	c.sent += frames
 }
 
-func (c *conn) recordProgress() { c.progress.Store(int64(max(time.Since(c.since), 1))) }
+func (c *conn) recordProgress() { c.lastProgress.Store(int64(max(time.Since(c.since), 1))) }
 
-func (c *conn) signal() {
+func (c *conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// isMessage reports whether a frame counts as use of the connection.
+// isMessage reports whether a frame of the type resets the idle timeout of the
+// connection.
 func isMessage(typ frameType) bool {
-	return typ == frameSend || typ == frameCall || typ == frameAnswer || typ == frameError
+	return typ == frameSend || typ == frameCall || typ == frameResponse || typ == frameError
 }
 
-// write writes what is queued; all that came in during one write goes out
-// with the next one.
+// write writes queued frames. Frames queued during one write are batched into
+// the next.
 func (c *conn) write() {
 	for {
 		select {
@@ -182,11 +185,11 @@
 			if len(batch) == 0 {
 				break
 			}
-			if _, err := c.sess.conn.Write(batch); err != nil {
+			if _, err := c.session.conn.Write(batch); err != nil {
 				c.close(err)
 				return
 			}
-			c.giveBack(batch)
+			c.recycleBuffer(batch)
 		}
 	}
 }
@@ -200,8 +203,8 @@
 	return batch
 }
 
-func (c *conn) giveBack(batch []byte) {
-	if cap(batch) > maxSpareBytes {
+func (c *conn) recycleBuffer(batch []byte) {
+	if cap(batch) > maxSpareBufferBytes {
 		return
 	}
 	c.link.mu.Lock()
@@ -211,24 +214,24 @@
 	}
 }
 
-// limitEvery is how many frames are taken together from the rate limiter.
-const limitEvery = 64
+// rateLimitBatch is the number of frames per request to the rate limiter.
+const rateLimitBatch = 64
 
-// read reads frames until an error.
+// read reads and dispatches frames until an error occurs.
 func (c *conn) read() error {
 	t := c.link.net
-	limiter := rate.NewLimiter(rate.Limit(t.opts.FramesPerSecond), t.opts.FramesPerSecond+limitEvery)
+	limiter := rate.NewLimiter(rate.Limit(t.opts.FramesPerSecond), t.opts.FramesPerSecond+rateLimitBatch)
 	for n := 1; ; n++ {
-		f, err := readFrame(c.sess.reader, t.opts.MaxFrameBytes)
+		f, err := readFrame(c.session.reader, t.opts.MaxFrameBytes)
 		if err != nil {
 			return closeCause(err)
 		}
-		if n%limitEvery == 0 {
-			if err := limiter.WaitN(c.ctx, limitEvery); err != nil {
+		if n%rateLimitBatch == 0 {
+			if err := limiter.WaitN(c.ctx, rateLimitBatch); err != nil {
 				return ErrClosed
 			}
 		}
-		t.meters.in[f.kind].Add(frameBytes + len(f.bytes()))
+		t.counters.bytesIn[f.kind].Add(frameOverheadBytes + len(f.bytes()))
 		if f.typ != framePong {
 			c.received.Add(1)
 		}
@@ -242,7 +245,7 @@
 	}
 }
 
-// closeCause maps the ends of a stream to ErrClosed.
+// closeCause maps errors that mean the end of the stream to ErrClosed.
 func closeCause(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
 		return ErrClosed
@@ -250,17 +253,17 @@
 	return err
 }
 
-// dispatch hands a frame on; it never blocks.
+// dispatch processes a received frame without blocking.
 func (c *conn) dispatch(f frame) error {
 	if isMessage(f.typ) {
-		c.used.Store(true)
+		c.usedSinceCheck.Store(true)
 	}
 	switch f.typ {
 	case frameSend:
 		c.receiveSend(f)
 	case frameCall:
 		return c.receiveCall(f)
-	case frameAnswer:
+	case frameResponse:
 		if !c.link.complete(f.id, result{payload: f.payload}) {
 			f.payload.release()
 		}
@@ -282,18 +285,18 @@
 	select {
 	case c.inbox <- f:
 	default:
-		c.link.net.meters.dropped.Inc()
+		c.link.net.counters.dropped.Inc()
 		f.payload.release()
 	}
 }
 
-// handleSends runs the handlers of one-way messages in their order.
+// handleSends runs the handlers of one-way messages in the order of arrival.
 func (c *conn) handleSends() {
 	for {
 		select {
 		case f := <-c.inbox:
 			if err := c.handleSend(f); err != nil {
-				c.reportUnread(f.kind, err)
+				c.reportUnhandled(f.kind, err)
 			}
 			f.payload.release()
 		case <-c.ctx.Done():
@@ -311,19 +314,21 @@
 	return err
 }
 
-// reportUnread counts an undecodable one-way message and logs the first of its kind on
-// this connection. It is called by handleSends only.
-func (c *conn) reportUnread(kind Kind, err error) {
-	c.link.net.meters.unread.Inc()
-	if c.unread[kind] {
+// reportUnhandled counts a one-way message that has no handler or whose handler
+// failed, and logs the first of each kind on this connection. Only handleSends
+// may call it.
+func (c *conn) reportUnhandled(kind Kind, err error) {
+	c.link.net.counters.unhandled.Inc()
+	if c.unhandledLogged[kind] {
 		return
 	}
-	c.unread[kind] = true
-	c.link.net.opts.Logger.Log(eventUnread, telemetry.Peer(c.remote), telemetry.Value("kind", kind.String()), telemetry.Err(err))
+	c.unhandledLogged[kind] = true
+	c.link.net.opts.Logger.Log(eventUnhandledMessage, telemetry.Peer(c.remote), telemetry.Value("kind", kind.String()), telemetry.Err(err))
 }
 
-// reply queues a frame on this connection, whatever the current one is. When
-// the queue is full it is dropped and the caller's deadline ends the call.
+// reply queues a frame on this connection, even if it is no longer the current
+// one of its link. If the queue is full, the frame is dropped and the call ends
+// with the deadline at the sender.
 func (c *conn) reply(typ frameType, kind Kind, id uint32, payload []byte) {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
@@ -336,18 +341,19 @@
 	if err := Decode(f.bytes(), &text); err != nil {
 		text = err.Error()
 	}
-	c.link.complete(f.id, result{err: c.link.fail(StepRemote, &RemoteError{Message: text})})
+	c.link.complete(f.id, result{err: c.link.wrapError(StepRemote, &RemoteError{Message: text})})
 }
 
 func (c *conn) receiveBye() {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	c.byeReceived = true
-	c.sayBye()
+	c.sendBye()
 }
 
-// sayBye lets new messages leave this connection. link.mu is held.
-func (c *conn) sayBye() {
+// sendBye sends a bye frame and stops using the connection for new messages. The
+// caller must hold link.mu.
+func (c *conn) sendBye() {
 	if c.byeSent {
 		return
 	}
@@ -358,16 +364,17 @@
 	_ = c.enqueue(frameBye, 0, 0, nil)
 }
 
-// check is the regular look at a connection; an error closes it. link.mu is
-// held.
+// check applies the silence and idle timeouts. It is called periodically; if it
+// returns an error, the connection must be closed. paused is by how much the
+// call is late. The caller must hold link.mu.
 func (c *conn) check(now time.Time, paused time.Duration) error {
-	if c.used.Swap(false) {
+	if c.usedSinceCheck.Swap(false) {
 		c.lastUse = now
 	}
-	if at := c.progress.Swap(0); at != 0 {
-		c.unackedSince, c.pinged = c.since.Add(time.Duration(at)), false
+	if at := c.lastProgress.Swap(0); at != 0 {
+		c.unackedSince, c.pingSent = c.since.Add(time.Duration(at)), false
 	}
-	if paused > sweepInterval {
+	if paused > fastSweepInterval {
 		c.unackedSince = c.unackedSince.Add(paused)
 	}
 	if c.sent != c.acked.Load() {
@@ -378,8 +385,9 @@
 	return c.checkIdle(now)
 }
 
-// silentAt reports whether an ack is overdue.
-func (c *conn) silentAt(now time.Time) bool {
+// isSilent reports whether an ack has been outstanding for longer than
+// silentAfter.
+func (c *conn) isSilent(now time.Time) bool {
 	return c.sent != c.acked.Load() && now.Sub(c.unackedSince) > silentAfter
 }
 
@@ -391,25 +399,26 @@
 	if silent >= o.DetachAfter && c.link.current == c && c.link.address != "" {
 		c.link.current = nil
 	}
-	if silent >= o.PingAfter && !c.pinged {
-		c.pinged = true
+	if silent >= o.PingAfter && !c.pingSent {
+		c.pingSent = true
 		_ = c.enqueue(framePing, KindPing, 0, nil)
 	}
 	return nil
 }
 
-// checkIdle lets the dialer end a connection that is not used: both ends say
-// bye first, so that no message is lost. The other end closes one whose dialer
-// has not done so for much longer.
+// checkIdle closes unused connections. Normally the dialing end does this, after
+// both ends have sent a bye frame, so that no message is lost. The accepting end
+// closes the connection if the dialing end has not done so for three times the
+// idle timeout.
 func (c *conn) checkIdle(now time.Time) error {
-	busy := c.pending > 0 || c.runningCalls() > 0 || len(c.out) > 0 || c.writing
-	if busy {
+	inUse := c.pendingCalls > 0 || c.runningCalls() > 0 || len(c.out) > 0 || c.writing
+	if inUse {
 		return nil
 	}
 	idle := now.Sub(c.lastUse)
 	timeout := c.link.net.opts.IdleTimeout
 	if c.dialed && idle >= timeout {
-		c.sayBye()
+		c.sendBye()
 	}
 	if c.dialed && c.byeReceived || !c.dialed && idle >= 3*timeout {
 		return ErrClosed
--- a/internal/peer/error.go
+++ b/internal/peer/error.go
@@ -5,54 +5,57 @@
 	"fmt"
 )
 
-// Step is the step of a message at which an error arose.
+// Step is the stage of sending or calling at which an error occurred.
 type Step string
 
-// The steps of a message, in order.
+// Steps, in the order in which a message passes through them.
 const (
-	StepRoute   Step = "route"   // the VM's address is looked up
-	StepEncode  Step = "encode"  // the message is encoded
-	StepConnect Step = "connect" // a connection is opened
-	StepQueue   Step = "queue"   // the message is put into the write queue
-	StepAnswer  Step = "answer"  // the answer is awaited
-	StepRemote  Step = "remote"  // the peer's handler failed
-	StepDecode  Step = "decode"  // the answer is decoded
+	StepRoute   Step = "route"   // looking up the VM's address
+	StepEncode  Step = "encode"  // encoding the message
+	StepConnect Step = "connect" // opening a connection
+	StepQueue   Step = "queue"   // adding the message to the write queue
+	StepAnswer  Step = "answer"  // waiting for the response
+	StepRemote  Step = "remote"  // running the handler at the peer
+	StepDecode  Step = "decode"  // decoding the response
 )
 
-// The causes of errors besides those of the context and the system.
+// Causes of errors, in addition to errors of contexts and of the operating system.
 var (
-	// ErrNoRoute: no address of the VM is known.
-	ErrNoRoute = errors.New("no address is known")
-	// ErrQueueFull: the write queue to the VM is full.
+	// ErrNoRoute means that no address of the VM is known.
+	ErrNoRoute = errors.New("no known address")
+	// ErrQueueFull means that the write queue to the VM is full.
 	ErrQueueFull = errors.New("write queue is full")
-	// ErrClosed: the connection or the network was closed.
+	// ErrClosed means that the connection or the network was closed.
 	ErrClosed = errors.New("connection is closed")
-	// ErrSilent: nothing was heard from the peer for too long.
-	ErrSilent = errors.New("connection is silent")
-	// ErrTooLarge: the message is larger than a frame may be.
+	// ErrSilent means that the peer did not acknowledge frames within
+	// Options.DeadAfter.
+	ErrSilent = errors.New("peer stopped acknowledging frames")
+	// ErrTooLarge means that the message exceeds Options.MaxFrameBytes.
 	ErrTooLarge = errors.New("message is too large")
-	// ErrMalformed: a frame does not follow the format.
-	ErrMalformed = errors.New("frame is malformed")
-	// ErrRefused: the peer is not the one expected, or is not let in.
-	ErrRefused = errors.New("peer is refused")
-	// ErrBusy: the peer handles too many calls of this daemon already.
+	// ErrMalformed means that a received frame violates the protocol.
+	ErrMalformed = errors.New("malformed frame")
+	// ErrRefused means that the handshake failed: the TLS handshake, the protocol
+	// version, the VM name or the certificate.
+	ErrRefused = errors.New("peer refused")
+	// ErrBusy means that the peer already handles Options.MaxCalls calls of this
+	// connection.
 	ErrBusy = errors.New("too many calls in flight")
 )
 
-// Error is the failure of one message.
+// Error reports that a message could not be sent or a call failed.
 type Error struct {
 	Peer string
 	Step Step
 	Err  error
 }
 
-// Error names the step and the peer.
+// Error returns the peer, the step and the cause.
 func (e *Error) Error() string { return fmt.Sprintf("peer %s: %s: %v", e.Peer, e.Step, e.Err) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotSent reports whether the message surely never left this daemon.
+// NotSent reports whether the message is known not to have been sent.
 func (e *Error) NotSent() bool {
 	switch e.Step {
 	case StepRoute, StepEncode, StepConnect, StepQueue:
@@ -61,17 +64,17 @@
 	return false
 }
 
-// NotSent reports whether err says that the message surely never left this
-// daemon.
+// NotSent reports whether err means that the message is known not to have been
+// sent.
 func NotSent(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.NotSent()
 }
 
-// RemoteError is the text of an error that a peer's handler returned.
+// RemoteError is an error reported by the peer, with its message.
 type RemoteError struct {
 	Message string
 }
 
-// Error returns the peer's text.
+// Error returns the message sent by the peer.
 func (e *RemoteError) Error() string { return e.Message }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -13,38 +13,38 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// A frame is a big-endian length of what follows, a header, and a payload in
-// msgpack:
+// Layout of a frame. Integers are big-endian, the length does not include its own
+// four bytes, and the payload is msgpack:
 //
 //	length uint32 | type uint8 | kind uint8 | id uint32 | ack uint32 | payload
 //
-// The id correlates a call with its answer. The ack is how many frames the
-// sender has received on this connection, which tells silent connections
-// apart without frames of their own while traffic flows both ways.
+// The id matches a response to its call. The ack is the number of frames other
+// than pongs that the sender has received on this connection. It detects silent
+// connections without additional frames while both ends send messages.
 const (
-	lengthBytes = 4
-	headerBytes = 10
-	frameBytes  = lengthBytes + headerBytes
+	lengthBytes        = 4
+	headerBytes        = 10
+	frameOverheadBytes = lengthBytes + headerBytes
 )
 
 // frameType is the type of a frame.
 type frameType uint8
 
-// The types of frames.
+// Frame types.
 const (
-	frameHello  frameType = iota + 1 // first frame both ways, payload hello
-	frameSend                        // one-way message
-	frameCall                        // message that wants an answer
-	frameAnswer                      // answer to the call of that id
-	frameError                       // the call failed; payload is its text
-	frameCancel                      // the call's answer is not wanted any more
-	framePing                        // asks for a pong
-	framePong                        // carries nothing but its ack
-	frameBye                         // the sender puts no new messages on this connection
-	frameTypes                       // number of types, plus one
+	frameHello    frameType = iota + 1 // first frame in each direction; the payload is a hello
+	frameSend                          // one-way message
+	frameCall                          // request that expects a response
+	frameResponse                      // response to the call with the same id
+	frameError                         // the call failed; the payload is the error message
+	frameCancel                        // the sender no longer waits for the response of the call
+	framePing                          // requests a pong
+	framePong                          // response to a ping; only its ack is used
+	frameBye                           // the sender sends no new messages on this connection
+	frameTypeEnd                       // first invalid type
 )
 
-// frame is one received frame. Its payload comes from the buffer pool.
+// frame is a received frame. Its payload is a pooled buffer.
 type frame struct {
 	kind    Kind
 	typ     frameType
@@ -62,16 +62,16 @@
 	return append(b, payload...)
 }
 
-// readFrame reads and checks one frame of at most maxBytes. An error that
-// wraps ErrMalformed means that the peer broke the format.
+// readFrame reads and validates a frame. Its length field may be at most maxBytes.
+// The error wraps ErrMalformed if the peer violated the protocol.
 func readFrame(r *bufio.Reader, maxBytes int) (frame, error) {
-	head, err := r.Peek(frameBytes)
+	head, err := r.Peek(frameOverheadBytes)
 	if err != nil {
 		return frame{}, err
 	}
 	length := binary.BigEndian.Uint32(head)
 	if length < headerBytes || length > uint32(maxBytes) {
-		return frame{}, trace.Wrap(ErrMalformed, "length %d, allowed are %d to %d", length, headerBytes, maxBytes)
+		return frame{}, trace.Wrap(ErrMalformed, "length %d is not between %d and %d", length, headerBytes, maxBytes)
 	}
 	f := frame{
 		typ:  frameType(head[4]),
@@ -79,10 +79,10 @@
 		id:   binary.BigEndian.Uint32(head[6:]),
 		ack:  binary.BigEndian.Uint32(head[10:]),
 	}
-	if f.typ == 0 || f.typ >= frameTypes {
-		return frame{}, trace.Wrap(ErrMalformed, "type %d", f.typ)
+	if f.typ == 0 || f.typ >= frameTypeEnd {
+		return frame{}, trace.Wrap(ErrMalformed, "unknown frame type %d", f.typ)
 	}
-	if _, err := r.Discard(frameBytes); err != nil {
+	if _, err := r.Discard(frameOverheadBytes); err != nil {
 		return frame{}, err
 	}
 	return f, f.readPayload(r, int(length)-headerBytes)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// bytes returns the payload, nil when it is empty.
+// bytes returns the payload, or nil if it is empty.
 func (f *frame) bytes() []byte {
 	if f.payload == nil {
 		return nil
@@ -112,15 +112,15 @@
 	return f.payload.b
 }
 
-// buffer is a pooled payload.
+// buffer is a pooled payload buffer.
 type buffer struct {
 	b []byte
 }
 
-var buffers = sync.Pool{New: func() any { return new(buffer) }}
+var bufferPool = sync.Pool{New: func() any { return new(buffer) }}
 
 func getBuffer(n int) *buffer {
-	b := buffers.Get().(*buffer)
+	b := bufferPool.Get().(*buffer)
 	if cap(b.b) < n {
 		b.b = make([]byte, n)
 	}
@@ -128,59 +128,59 @@
 	return b
 }
 
-// release gives the buffer back; nil is allowed.
+// release returns the buffer to the pool. b may be nil.
 func (b *buffer) release() {
-	if b == nil || cap(b.b) > maxKeptBuffer {
+	if b == nil || cap(b.b) > maxPooledBufferBytes {
 		return
 	}
-	buffers.Put(b)
+	bufferPool.Put(b)
 }
 
-// maxDepth is how deep arrays and maps of a payload may be nested.
+// maxDepth is the maximum nesting depth of arrays and maps in a payload.
 const maxDepth = 16
 
-// walker checks payloads; it is pooled.
-type walker struct {
+// validator is a pooled validator of payloads.
+type validator struct {
 	reader bytes.Reader
 	dec    *msgpack.Decoder
 }
 
-var walkers = sync.Pool{New: func() any { return &walker{dec: msgpack.NewDecoder(nil)} }}
+var validatorPool = sync.Pool{New: func() any { return &validator{dec: msgpack.NewDecoder(nil)} }}
 
-// CheckPayload verifies that a payload is one msgpack value, whole, without
-// bytes after it, and nested at most maxDepth deep. The decoder itself
-// recurses without a bound.
+// CheckPayload verifies that a payload is exactly one complete msgpack value with
+// at most maxDepth levels of nesting. The msgpack decoder does not limit its
+// recursion.
 func CheckPayload(payload []byte) error {
-	w := walkers.Get().(*walker)
-	defer walkers.Put(w)
+	w := validatorPool.Get().(*validator)
+	defer validatorPool.Put(w)
 	w.reader.Reset(payload)
 	w.dec.Reset(&w.reader)
-	if err := w.walk(); err != nil {
+	if err := w.validate(); err != nil {
 		return trace.Wrap(ErrMalformed, "payload: %v", err)
 	}
 	if w.reader.Len() > 0 {
-		return trace.Wrap(ErrMalformed, "payload: %d bytes too many", w.reader.Len())
+		return trace.Wrap(ErrMalformed, "payload: %d trailing bytes", w.reader.Len())
 	}
 	return nil
 }
 
-var errTooDeep = errors.New("nested too deep")
+var errTooDeep = errors.New("nesting too deep")
 
-// walk skips one value with an explicit stack of how many values are left at
-// each level.
-func (w *walker) walk() error {
-	var left [maxDepth + 1]int
+// validate skips one value without recursion. remaining is the number of values
+// left to read at each nesting level.
+func (w *validator) validate() error {
+	var remaining [maxDepth + 1]int
 	depth := 0
-	left[0] = 1
+	remaining[0] = 1
 	for {
-		for left[depth] == 0 {
+		for remaining[depth] == 0 {
 			if depth == 0 {
 				return nil
 			}
 			depth--
 		}
-		left[depth]--
-		n, err := w.next()
+		remaining[depth]--
+		n, err := w.readNext()
 		if err != nil {
 			return err
 		}
@@ -191,13 +191,13 @@
 			return errTooDeep
 		}
 		depth++
-		left[depth] = n
+		remaining[depth] = n
 	}
 }
 
-// next skips a scalar, or enters an array or map and returns how many values
-// it holds.
-func (w *walker) next() (values int, err error) {
+// readNext skips a scalar, or reads the header of an array or map and returns the
+// number of values in it.
+func (w *validator) readNext() (values int, err error) {
 	code, err := w.dec.PeekCode()
 	if err != nil {
 		return 0, err
@@ -205,11 +205,11 @@
 	switch {
 	case msgpcode.IsFixedArray(code), code == msgpcode.Array16, code == msgpcode.Array32:
 		n, err := w.dec.DecodeArrayLen()
-		return n, w.bound(n, err)
+		return n, w.checkLength(n, err)
 	case msgpcode.IsFixedMap(code), code == msgpcode.Map16, code == msgpcode.Map32:
 		n, err := w.dec.DecodeMapLen()
-		return 2 * n, w.bound(2*n, err)
-	case isBlob(code):
+		return 2 * n, w.checkLength(2*n, err)
+	case isStringOrBytes(code):
 		n, err := w.dec.DecodeBytesLen()
 		if err != nil || n <= 0 {
 			return 0, err
@@ -223,16 +223,16 @@
 	return 0, w.dec.Skip()
 }
 
-// bound refuses a length that the bytes left cannot hold.
-func (w *walker) bound(n int, err error) error {
+// checkLength returns an error if n values cannot fit into the unread bytes.
+func (w *validator) checkLength(n int, err error) error {
 	if err == nil && (n < 0 || n > w.reader.Len()) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// isBlob reports whether a string or bytes follow.
-func isBlob(code byte) bool {
+// isStringOrBytes reports whether code starts a string or a byte slice.
+func isStringOrBytes(code byte) bool {
 	switch code {
 	case msgpcode.Str8, msgpcode.Str16, msgpcode.Str32, msgpcode.Bin8, msgpcode.Bin16, msgpcode.Bin32:
 		return true
--- a/internal/peer/hello.go
+++ b/internal/peer/hello.go
@@ -9,33 +9,34 @@
 	"github.com/gravitational/trace"
 )
 
-// protocolVersion is raised by changes that older daemons cannot read.
+// protocolVersion is incremented by incompatible changes of the protocol.
 const protocolVersion = 1
 
-// maxHelloBytes bounds the frame of a peer that is not known yet.
+// maxHelloBytes is the maximum size of the first frame, which is read before the
+// peer is verified.
 const maxHelloBytes = 1 << 10
 
-// hello is the first message of both ends.
+// hello is the first message sent by each end.
 type hello struct {
 	Version     uint32
 	VM          string
 	Incarnation uint64
-	Expected    string // VM that the dialer means to reach; empty if it does not know
+	Expected    string // VM that the dialing end wants to reach; empty if it knows only an address
 }
 
-// readBufferBytes is the size of the read buffer of a connection.
+// readBufferBytes is the size of the read buffer of each connection.
 const readBufferBytes = 16 << 10
 
-// session is a connection after the exchange of hellos.
+// session is a connection that has completed the handshake.
 type session struct {
 	conn   net.Conn
 	reader *bufio.Reader
 	remote hello
 }
 
-// handshake exchanges hellos, and runs TLS before when keys are set. expected
-// is empty at the accepting end, and where the VM behind the address is not
-// known.
+// handshake runs the TLS handshake, if keys are set, and exchanges hello messages.
+// expected is empty at the accepting end, and at the dialing end if only the
+// address of the VM is known.
 func (t *TCP) handshake(ctx context.Context, raw net.Conn, server bool, expected string) (*session, error) {
 	deadline, _ := ctx.Deadline()
 	if err := raw.SetDeadline(deadline); err != nil {
@@ -43,22 +44,22 @@
 	}
 	conn := raw
 	if t.keys != nil {
-		secured, err := t.keys.secure(ctx, raw, server)
+		tlsConn, err := t.keys.secure(ctx, raw, server)
 		if err != nil {
-			return nil, refused(err)
+			return nil, newRefusal(err)
 		}
-		conn = secured
+		conn = tlsConn
 	}
 	s := &session{conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
-	if err := t.exchange(s, server, expected); err != nil {
+	if err := t.exchangeHellos(s, server, expected); err != nil {
 		return nil, err
 	}
 	return s, trace.Wrap(conn.SetDeadline(time.Time{}))
 }
 
-// exchange lets the dialer speak first, so that the accepting end shows
-// nothing to a stranger.
-func (t *TCP) exchange(s *session, server bool, expected string) error {
+// exchangeHellos exchanges and verifies hello messages. The dialing end sends
+// first, so that the accepting end reveals nothing to an unverified peer.
+func (t *TCP) exchangeHellos(s *session, server bool, expected string) error {
 	if !server {
 		if err := t.writeHello(s.conn, expected); err != nil {
 			return err
@@ -68,7 +69,7 @@
 		return err
 	}
 	if err := t.checkHello(s, server, expected); err != nil {
-		return refused(err)
+		return newRefusal(err)
 	}
 	if server {
 		return t.writeHello(s.conn, "")
@@ -92,7 +93,7 @@
 	}
 	defer f.payload.release()
 	if f.typ != frameHello {
-		return trace.Wrap(ErrMalformed, "first frame is of type %d", f.typ)
+		return trace.Wrap(ErrMalformed, "first frame has type %d", f.typ)
 	}
 	return Decode(f.bytes(), &s.remote)
 }
@@ -100,24 +101,24 @@
 func (t *TCP) checkHello(s *session, server bool, expected string) error {
 	h := s.remote
 	if h.Version != protocolVersion {
-		return trace.BadParameter("protocol version %d, allowed is %d", h.Version, protocolVersion)
+		return trace.BadParameter("protocol version %d is not supported, want %d", h.Version, protocolVersion)
 	}
 	if h.VM == "" {
-		return trace.BadParameter("hello names no VM")
+		return trace.BadParameter("hello without VM name")
 	}
 	if server && h.Expected != "" && h.Expected != t.opts.VM {
-		return trace.BadParameter("VM %s looks for %s, this is %s", h.VM, h.Expected, t.opts.VM)
+		return trace.BadParameter("VM %s expects %s, but this is %s", h.VM, h.Expected, t.opts.VM)
 	}
 	if expected != "" && h.VM != expected {
-		return trace.BadParameter("VM %s answers in place of %s", h.VM, expected)
+		return trace.BadParameter("connected to VM %s instead of %s", h.VM, expected)
 	}
-	return verifyName(s.conn, h.VM)
+	return verifyPeerName(s.conn, h.VM)
 }
 
-// refused marks an error as a refusal.
-func refused(err error) error { return &refusal{err} }
+// newRefusal wraps err so that it also matches ErrRefused.
+func newRefusal(err error) error { return &refusal{err} }
 
-// refusal is an error that is also ErrRefused.
+// refusal is an error that matches both ErrRefused and its cause.
 type refusal struct{ err error }
 
 func (r *refusal) Error() string   { return ErrRefused.Error() + ": " + r.err.Error() }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -12,35 +12,36 @@
 	"masticturn/internal/telemetry"
 )
 
-// link is the way to one VM: its address, its connections and what waits for
-// them. A lock of its own keeps links apart from each other.
+// link holds the address of a VM, the connections to it, and the calls and frames
+// that wait for them. Each link has its own lock, so that links do not contend
+// with each other.
 type link struct {
-	net   *TCP
-	vm    string
-	users atomic.Int32 // who holds the link; raised under the network's lock only
+	net  *TCP
+	vm   string
+	refs atomic.Int32 // reference count; incremented only under the lock of the network
 
 	mu      sync.Mutex
 	address string
-	current *conn // carries new messages; nil when none does
+	current *conn // connection used for new messages; may be nil
 	conns   map[*conn]struct{}
 	nextID  uint32
 	calls   map[uint32]*call
 
 	dialing       bool
-	backlog       []byte // frames that wait for the dial
+	backlog       []byte // frames queued until the dial completes
 	backlogFrames uint32
 	backoff       *backoff.ExponentialBackOff
-	retryAt       time.Time // no dial before
-	dialErr       error     // of the last dial
+	retryAt       time.Time // earliest time of the next dial
+	dialErr       error     // error of the latest failed dial
 }
 
-// call is one call that waits for its answer.
+// call is a call that awaits its response.
 type call struct {
-	done chan result // holds one
-	conn *conn       // nil while the call is in the backlog
+	done chan result // capacity 1
+	conn *conn       // nil while the frame is in the backlog
 }
 
-// result is the end of a call.
+// result is the outcome of a call.
 type result struct {
 	payload *buffer
 	err     error
@@ -55,12 +56,12 @@
 	return &link{net: t, vm: vm, address: address, conns: make(map[*conn]struct{}), calls: make(map[uint32]*call), backoff: b}
 }
 
-func (l *link) fail(step Step, err error) error {
+func (l *link) wrapError(step Step, err error) error {
 	return &Error{Peer: l.vm, Step: step, Err: err}
 }
 
-// setAddress changes the address. New messages leave a connection that was
-// dialed to another one.
+// setAddress changes the address. A connection dialed to the previous address is
+// no longer used for new messages.
 func (l *link) setAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,9 +83,9 @@
 	return err
 }
 
-// enqueue puts a frame on the current connection, or into the backlog of a
-// dial, which it starts if it may. The lock is held. The connection returned
-// is nil for the backlog.
+// enqueue queues a frame on the current connection. Without one it adds the frame
+// to the backlog, dials if necessary, and returns a nil connection. It fails if a
+// dial is needed but not possible now. The caller must hold l.mu.
 func (l *link) enqueue(typ frameType, kind Kind, id uint32, payload []byte) (*conn, error) {
 	if l.current != nil {
 		return l.current, l.current.enqueue(typ, kind, id, payload)
@@ -92,13 +93,13 @@
 	if err := l.ensureDial(); err != nil {
 		return nil, err
 	}
-	if len(l.backlog)+len(payload)+frameBytes > l.net.opts.MaxQueueBytes {
-		l.net.meters.dropped.Inc()
-		return nil, l.fail(StepQueue, ErrQueueFull)
+	if len(l.backlog)+len(payload)+frameOverheadBytes > l.net.opts.MaxQueueBytes {
+		l.net.counters.dropped.Inc()
+		return nil, l.wrapError(StepQueue, ErrQueueFull)
 	}
 	l.backlog = appendFrame(l.backlog, typ, kind, id, 0, payload)
 	l.backlogFrames++
-	l.net.meters.out[kind].Add(frameBytes + len(payload))
+	l.net.counters.bytesOut[kind].Add(frameOverheadBytes + len(payload))
 	return nil, nil
 }
 
@@ -107,11 +108,11 @@
 	case l.dialing:
 		return nil
 	case l.address == "":
-		return l.fail(StepRoute, ErrNoRoute)
+		return l.wrapError(StepRoute, ErrNoRoute)
 	case l.net.ctx.Err() != nil:
-		return l.fail(StepConnect, ErrClosed)
+		return l.wrapError(StepConnect, ErrClosed)
 	case time.Now().Before(l.retryAt):
-		return l.fail(StepConnect, l.dialErr)
+		return l.wrapError(StepConnect, l.dialErr)
 	}
 	l.dialing = true
 	address := l.address
@@ -119,10 +120,10 @@
 	return nil
 }
 
-// call sends a call and waits for its end.
+// call sends a call and waits for its result or the end of ctx.
 func (l *link) call(ctx context.Context, kind Kind, payload []byte) result {
 	c := l.net.calls.Get().(*call)
-	id, err := l.begin(c, kind, payload)
+	id, err := l.startCall(c, kind, payload)
 	if err != nil {
 		l.net.calls.Put(c)
 		return result{err: err}
@@ -136,10 +137,10 @@
 	if l.abandon(id, kind) {
 		l.net.calls.Put(c)
 	}
-	return result{err: l.fail(StepAnswer, ctx.Err())}
+	return result{err: l.wrapError(StepAnswer, ctx.Err())}
 }
 
-func (l *link) begin(c *call, kind Kind, payload []byte) (id uint32, err error) {
+func (l *link) startCall(c *call, kind Kind, payload []byte) (id uint32, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nextID++
@@ -150,17 +151,17 @@
 	}
 	l.calls[id] = c
 	if c.conn != nil {
-		c.conn.pending++
+		c.conn.pendingCalls++
 	}
 	return id, nil
 }
 
-// abandon forgets a call whose caller left and tells the peer. It reports
-// false when the call's end came in between.
+// abandon removes a call whose context has ended and sends a cancel frame to the
+// peer. It reports false if the call has already completed.
 func (l *link) abandon(id uint32, kind Kind) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, ok := l.take(id)
+	c, ok := l.removeCall(id)
 	if !ok {
 		return false
 	}
@@ -170,42 +171,43 @@
 	return true
 }
 
-// take removes a call that waits. The lock is held.
-func (l *link) take(id uint32) (*call, bool) {
+// removeCall removes a waiting call. The caller must hold l.mu.
+func (l *link) removeCall(id uint32) (*call, bool) {
 	c, ok := l.calls[id]
 	if !ok {
 		return nil, false
 	}
 	delete(l.calls, id)
 	if c.conn != nil {
-		c.conn.pending--
+		c.conn.pendingCalls--
 	}
 	return c, true
 }
 
-// complete ends a call. It reports false when nobody waits for it.
+// complete delivers the result of a call. It reports false if the call is no
+// longer waiting.
 func (l *link) complete(id uint32, res result) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, ok := l.take(id)
+	c, ok := l.removeCall(id)
 	if ok {
 		c.done <- res
 	}
 	return ok
 }
 
-// failCalls ends the calls that were given to a connection, or those in the
-// backlog when it is nil. The lock is held.
-func (l *link) failCalls(of *conn, err error) {
+// failCalls fails the waiting calls that were sent on a connection, or those in
+// the backlog if it is nil. The caller must hold l.mu.
+func (l *link) failCalls(owner *conn, err error) {
 	for id, c := range l.calls {
-		if c.conn == of {
-			_, _ = l.take(id)
+		if c.conn == owner {
+			_, _ = l.removeCall(id)
 			c.done <- result{err: err}
 		}
 	}
 }
 
-// dial opens a connection and runs it to its end.
+// dial opens a connection and serves it until it is closed.
 func (l *link) dial(address string) {
 	c, err := l.connect(address)
 	if err != nil {
@@ -220,13 +222,13 @@
 	t := l.net
 	ctx, cancel := context.WithTimeout(t.ctx, t.opts.DialTimeout)
 	defer cancel()
-	t.meters.dials.Inc()
+	t.counters.dials.Inc()
 	raw, err := t.opts.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	unhook := context.AfterFunc(t.ctx, func() { _ = raw.Close() })
-	defer unhook()
+	stop := context.AfterFunc(t.ctx, func() { _ = raw.Close() })
+	defer stop()
 	expected := l.vm
 	if expected == address {
 		expected = ""
@@ -241,7 +243,7 @@
 
 func (l *link) dialFailed(err error) {
 	if errors.Is(err, ErrRefused) {
-		l.net.reportHandshake(l.vm, err)
+		l.net.reportHandshakeError(l.vm, err)
 	} else {
 		l.net.opts.Logger.Log(eventDialFailed, telemetry.Peer(l.vm), telemetry.Step(string(StepConnect)), telemetry.Err(err))
 	}
@@ -255,23 +257,24 @@
 		return
 	}
 	l.backlog, l.backlogFrames = nil, 0
-	l.failCalls(nil, l.fail(StepConnect, err))
+	l.failCalls(nil, l.wrapError(StepConnect, err))
 }
 
-// moveBacklog gives what waited for a dial to a connection. The lock is held.
+// moveBacklog moves the frames and calls of the backlog to a connection. The
+// caller must hold l.mu.
 func (l *link) moveBacklog(c *conn) {
-	c.adopt(l.backlog, l.backlogFrames)
+	c.appendBacklog(l.backlog, l.backlogFrames)
 	l.backlog, l.backlogFrames = nil, 0
 	for _, call := range l.calls {
 		if call.conn == nil {
 			call.conn = c
-			c.pending++
+			c.pendingCalls++
 		}
 	}
 }
 
-// attach adds a connection that stands, and moves the backlog to it if it was
-// dialed here.
+// attach adds an established connection. If it was dialed by this end, attach
+// moves the backlog to it.
 func (l *link) attach(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -288,27 +291,27 @@
 	l.moveBacklog(c)
 }
 
-// prefers reports whether a new connection takes the place of the current one.
-// It does, since the peer would not have dialed if it had one that works,
-// unless both ends dialed at once: then both keep the one whose dialer has the
-// smaller name.
+// prefers reports whether a new connection replaces the current one. Usually it
+// does, because the peer would not have dialed if it had a working connection. If
+// both ends dialed at about the same time, both keep the connection dialed by the
+// VM with the lexically smaller name.
 func (l *link) prefers(c *conn) bool {
-	cur := l.current
-	if cur == nil || cur.dialed == c.dialed || c.since.Sub(cur.since) > 2*l.net.opts.DialTimeout {
+	current := l.current
+	if current == nil || current.dialed == c.dialed || c.since.Sub(current.since) > 2*l.net.opts.DialTimeout {
 		return true
 	}
 	return c.dialed == (l.net.opts.VM < c.remote)
 }
 
-// remove takes a closed connection away and ends its calls.
-func (l *link) remove(c *conn, err error) {
+// detach removes a closed connection and fails its calls.
+func (l *link) detach(c *conn, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 	if l.current == c {
 		l.current = nil
 	}
-	l.failCalls(c, l.fail(StepAnswer, err))
+	l.failCalls(c, l.wrapError(StepAnswer, err))
 }
 
 func (l *link) closeAll(err error) {
@@ -323,8 +326,8 @@
 	}
 }
 
-// unwritten reports whether frames wait to be written.
-func (l *link) unwritten() bool {
+// hasUnwritten reports whether frames have not been written yet.
+func (l *link) hasUnwritten() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -335,16 +338,18 @@
 	return len(l.backlog) > 0 && l.dialing
 }
 
-// unused reports whether nobody holds the link and it holds nothing. The state
-// of the backoff is kept for a while after the last dial. The lock is held.
-func (l *link) unused(now time.Time) bool {
-	held := l.users.Load() > 0 || len(l.conns) > 0 || l.dialing || len(l.calls) > 0
-	return !held && now.Sub(l.retryAt) > l.net.opts.MaxBackoff
+// isUnused reports whether the link can be removed: it has no references,
+// connections, waiting calls or dial in progress, and MaxBackoff has passed since
+// retryAt, so that the backoff state survives between dials. The caller must hold
+// l.mu.
+func (l *link) isUnused(now time.Time) bool {
+	inUse := l.refs.Load() > 0 || len(l.conns) > 0 || l.dialing || len(l.calls) > 0
+	return !inUse && now.Sub(l.retryAt) > l.net.opts.MaxBackoff
 }
 
-// sweep looks after the connections and reports whether the link holds
-// nothing any more, and whether a connection is silent.
-func (l *link) sweep(now time.Time, paused time.Duration) (empty, silent bool) {
+// sweep checks all connections and closes those that fail the check. It reports
+// whether the link can be removed and whether any connection is silent.
+func (l *link) sweep(now time.Time, paused time.Duration) (unused, silent bool) {
 	l.mu.Lock()
 	var ended []*conn
 	var causes []error
@@ -353,12 +358,12 @@
 			ended = append(ended, c)
 			causes = append(causes, err)
 		}
-		silent = silent || c.silentAt(now)
+		silent = silent || c.isSilent(now)
 	}
-	empty = l.unused(now)
+	unused = l.isUnused(now)
 	l.mu.Unlock()
 	for i, c := range ended {
 		c.close(causes[i])
 	}
-	return empty, silent
+	return unused, silent
 }
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// String returns the name used in metrics and logs.
+// String returns the name of the kind in metrics and logs.
 func (k Kind) String() string {
 	if name, ok := kindNames[k]; ok {
 		return name
@@ -14,7 +14,8 @@
 	return "other"
 }
 
-// kindNames holds the names of all kinds.
+// kindNames holds the names of kinds in metrics and logs. Kinds without a name are
+// reported as "other".
 var kindNames = map[Kind]string{
 	KindPing:         "ping",
 	KindHeartbeat:    "heartbeat",
@@ -38,36 +39,36 @@
 	KindQuarantineRelease: "quarantine_return",
 }
 
-// kinds is the number of values of Kind.
-const kinds = 256
+// kindCount is the number of possible values of Kind.
+const kindCount = 256
 
-// meters are the metrics of one network. Bytes are those of frames, before
-// TLS, without what TCP and IP add.
-type meters struct {
-	in, out  [kinds]*metrics.Counter // bytes
-	dropped  *metrics.Counter        // messages that found the queue full
-	silent   *metrics.Counter        // connections given up for their silence
-	bad      *metrics.Counter        // malformed frames
-	unread   *metrics.Counter        // one-way messages of a kind or form that this process does not know
-	refused  *metrics.Counter        // handshakes that failed
-	dials    *metrics.Counter
-	accepted *metrics.Counter
+// counters are the metrics of a network. Byte counts are sizes of frames, without
+// the overhead of TLS, TCP and IP.
+type counters struct {
+	bytesIn, bytesOut [kindCount]*metrics.Counter // by kind
+	dropped           *metrics.Counter            // messages dropped because a queue was full
+	silent            *metrics.Counter            // connections closed because the peer stopped acknowledging
+	malformed         *metrics.Counter            // malformed frames
+	unhandled         *metrics.Counter            // one-way messages without a handler or whose handler failed
+	refused           *metrics.Counter            // handshakes that failed with ErrRefused
+	dials             *metrics.Counter
+	accepted          *metrics.Counter
 }
 
-func newMeters(set *metrics.Set) *meters {
-	m := &meters{
-		dropped:  set.GetOrCreateCounter("masticturn_peer_dropped_messages_total"),
-		silent:   set.GetOrCreateCounter("masticturn_peer_silent_connections_total"),
-		bad:      set.GetOrCreateCounter("masticturn_peer_malformed_frames_total"),
-		unread:   set.GetOrCreateCounter("masticturn_peer_unread_messages_total"),
-		refused:  set.GetOrCreateCounter("masticturn_peer_refused_total"),
-		dials:    set.GetOrCreateCounter("masticturn_peer_dials_total"),
-		accepted: set.GetOrCreateCounter("masticturn_peer_accepted_total"),
+func newCounters(set *metrics.Set) *counters {
+	m := &counters{
+		dropped:   set.GetOrCreateCounter("masticturn_peer_dropped_messages_total"),
+		silent:    set.GetOrCreateCounter("masticturn_peer_silent_connections_total"),
+		malformed: set.GetOrCreateCounter("masticturn_peer_malformed_frames_total"),
+		unhandled: set.GetOrCreateCounter("masticturn_peer_unread_messages_total"),
+		refused:   set.GetOrCreateCounter("masticturn_peer_refused_total"),
+		dials:     set.GetOrCreateCounter("masticturn_peer_dials_total"),
+		accepted:  set.GetOrCreateCounter("masticturn_peer_accepted_total"),
 	}
-	for i := range kinds {
+	for i := range kindCount {
 		name := Kind(i).String()
-		m.in[i] = set.GetOrCreateCounter(fmt.Sprintf(`masticturn_peer_bytes_total{direction="in",kind=%q}`, name))
-		m.out[i] = set.GetOrCreateCounter(fmt.Sprintf(`masticturn_peer_bytes_total{direction="out",kind=%q}`, name))
+		m.bytesIn[i] = set.GetOrCreateCounter(fmt.Sprintf(`masticturn_peer_bytes_total{direction="in",kind=%q}`, name))
+		m.bytesOut[i] = set.GetOrCreateCounter(fmt.Sprintf(`masticturn_peer_bytes_total{direction="out",kind=%q}`, name))
 	}
 	return m
 }
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -11,34 +11,34 @@
 	"masticturn/internal/telemetry"
 )
 
-// DialFunc opens a connection to an address.
+// DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options are the parameters of a TCP network. Zero values of the bounds and
-// timings mean their defaults.
+// Options are the parameters of a TCP network. Limits and durations that are zero
+// are set to their defaults.
 type Options struct {
 	VM          string // name of this VM
-	Incarnation uint64 // of this process
-	Listen      string // host:port of the listener
+	Incarnation uint64 // incarnation of this process
+	Listen      string // host:port to listen on
 	TLS         settings.TLS
 
-	Listener    net.Listener // in place of Listen, if not nil
-	DialContext DialFunc     // in place of a net.Dialer, if not nil
+	Listener    net.Listener // used instead of Listen if not nil
+	DialContext DialFunc     // used instead of net.Dialer if not nil
 	Metrics     *metrics.Set // may be nil
 	Logger      *telemetry.Logger
 
-	MaxFrameBytes   int           // largest frame either way
-	MaxQueueBytes   int           // bound of the write queue to one VM
-	MaxCalls        int           // calls of one connection handled at once
-	MaxConnections  int           // accepted connections
-	FramesPerSecond int           // accepted per connection; a faster peer is read slower
-	PingAfter       time.Duration // without an ack for this time a ping is sent
-	DetachAfter     time.Duration // ... new messages go to a new connection
-	DeadAfter       time.Duration // ... the connection is closed
-	IdleTimeout     time.Duration // a connection without messages is closed
-	DialTimeout     time.Duration // of opening a connection, hello included
-	MinBackoff      time.Duration // first wait after a failed dial
-	MaxBackoff      time.Duration // longest wait after failed dials
+	MaxFrameBytes   int           // maximum size of a frame sent or received
+	MaxQueueBytes   int           // maximum size of the write queue to a VM
+	MaxCalls        int           // maximum number of concurrently handled calls of a connection
+	MaxConnections  int           // maximum number of accepted connections
+	FramesPerSecond int           // maximum rate of frames read per connection; faster peers are throttled
+	PingAfter       time.Duration // send a ping if frames stay unacknowledged for this time
+	DetachAfter     time.Duration // ... use a new connection for new messages
+	DeadAfter       time.Duration // ... close the connection
+	IdleTimeout     time.Duration // close a connection without messages after this time
+	DialTimeout     time.Duration // timeout of opening a connection, including the handshake
+	MinBackoff      time.Duration // initial delay after a failed dial
+	MaxBackoff      time.Duration // maximum delay after failed dials
 }
 
 // Defaults of Options.
@@ -57,7 +57,7 @@
 	defaultMaxBackoff      = 2 * time.Second
 )
 
-// orDefault sets *v to def if it is zero.
+// orDefault sets *v to def if *v is the zero value.
 func orDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
--- a/internal/peer/pipe_test.go
+++ b/internal/peer/pipe_test.go
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// pipes is a network of in-memory connections that work under fake time.
-type pipes struct {
+// pipeNetwork provides in-memory connections that work with the fake clock of
+// testing/synctest.
+type pipeNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
-	conns     []*pipeConn   // dialing ends, in order
-	delay     time.Duration // of a dial
+	conns     []*pipeConn   // dialing ends, in the order of dials
+	dialDelay time.Duration // duration of a dial
 }
 
-func newPipes() *pipes { return &pipes{listeners: make(map[string]*pipeListener)} }
+func newPipeNetwork() *pipeNetwork { return &pipeNetwork{listeners: make(map[string]*pipeListener)} }
 
-// pipeConn is one end of a connection. While silent, what it writes is lost
-// without an error.
+// pipeConn is one end of a connection. While silent is set, writes succeed but the
+// data is discarded.
 type pipeConn struct {
 	net.Conn
 	silent atomic.Bool
-	other  *pipeConn
+	remote *pipeConn
 }
 
 func (c *pipeConn) Write(p []byte) (int, error) {
@@ -34,7 +35,7 @@
 	return c.Conn.Write(p)
 }
 
-// Close of a silent connection does not reach the other end.
+// Close closes the connection. If it is silent, the other end does not notice.
 func (c *pipeConn) Close() error {
 	if c.silent.Load() {
 		return c.SetDeadline(time.Unix(1, 0))
@@ -65,7 +66,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: l.address} }
 
-func (p *pipes) listen(address string) net.Listener {
+func (p *pipeNetwork) listen(address string) net.Listener {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := &pipeListener{address: address, queue: make(chan net.Conn), closed: make(chan struct{})}
@@ -73,17 +74,17 @@
 	return l
 }
 
-func (p *pipes) dial(ctx context.Context, _, address string) (net.Conn, error) {
+func (p *pipeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	p.mu.Lock()
 	l := p.listeners[address]
 	p.mu.Unlock()
 	if l == nil {
 		return nil, net.UnknownNetworkError(address)
 	}
-	time.Sleep(p.delay)
+	time.Sleep(p.dialDelay)
 	a, b := net.Pipe()
 	near, far := &pipeConn{Conn: a}, &pipeConn{Conn: b}
-	near.other, far.other = far, near
+	near.remote, far.remote = far, near
 	select {
 	case l.queue <- far:
 	case <-l.closed:
@@ -97,42 +98,42 @@
 	return near, nil
 }
 
-// last returns the dialing end of the newest connection.
-func (p *pipes) last() *pipeConn {
+// newestConn returns the dialing end of the newest connection.
+func (p *pipeNetwork) newestConn() *pipeConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conns[len(p.conns)-1]
 }
 
-func (p *pipes) dials() int {
+func (p *pipeNetwork) dialCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
-// closeAll ends all pipes, also the silent ones.
-func (p *pipes) closeAll() {
+// closeAll closes all pipes, including silent ones.
+func (p *pipeNetwork) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
 		_ = c.Conn.Close()
-		_ = c.other.Conn.Close()
+		_ = c.remote.Conn.Close()
 	}
 }
 
-// message is the message of the tests.
+// message is the payload used by the tests.
 type message struct {
 	Number int
 	Text   string
 }
 
-// start runs a network under the name, which is its address too. Calls of
-// KindPermit are echoed; those of KindDemand wait until they are canceled.
-func (p *pipes) start(t *testing.T, vm string, change func(*Options)) *TCP {
+// startNetwork starts the network of a VM, whose name is also its address. It
+// echoes calls of KindPermit; calls of KindDemand block until they are canceled.
+func (p *pipeNetwork) startNetwork(t *testing.T, vm string, configure func(*Options)) *TCP {
 	t.Helper()
 	opts := Options{VM: vm, Incarnation: 1, Listener: p.listen(vm), DialContext: p.dial}
-	if change != nil {
-		change(&opts)
+	if configure != nil {
+		configure(&opts)
 	}
 	n, err := NewTCP(opts)
 	if err != nil {
@@ -157,10 +158,10 @@
 	return &m, nil
 }
 
-// pairOf starts the networks a and b, which know each other.
-func pairOf(t *testing.T, change func(*Options)) (p *pipes, a, b *TCP, stop func()) {
-	p = newPipes()
-	a, b = p.start(t, "a", change), p.start(t, "b", change)
+// startPair starts two networks a and b that know the addresses of each other.
+func startPair(t *testing.T, configure func(*Options)) (p *pipeNetwork, a, b *TCP, stop func()) {
+	p = newPipeNetwork()
+	a, b = p.startNetwork(t, "a", configure), p.startNetwork(t, "b", configure)
 	a.SetAddress("b", "b")
 	b.SetAddress("a", "a")
 	return p, a, b, func() {
@@ -175,10 +176,10 @@
 	}
 }
 
-// ask calls within the time and returns the error.
-func ask(n *TCP, to string, kind Kind, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// callWithTimeout makes a call with a timeout and returns its error.
+func callWithTimeout(n *TCP, to string, kind Kind, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	var answer message
-	return n.Call(ctx, to, kind, &message{Number: 1, Text: "hello"}, &answer)
+	var resp message
+	return n.Call(ctx, to, kind, &message{Number: 1, Text: "hello"}, &resp)
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -6,25 +6,25 @@
 	"github.com/gravitational/trace"
 )
 
-// receiveCall starts the handler of a call.
+// receiveCall starts the handler of a received call.
 func (c *conn) receiveCall(f frame) error {
 	h := c.link.net.handlers[f.kind]
 	if h == nil {
-		c.refuse(f, "no handler of kind "+f.kind.String())
+		c.rejectCall(f, "no handler of kind "+f.kind.String())
 		return nil
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	admitted, err := c.beginCall(f.id, cancel)
 	if !admitted {
 		cancel()
-		c.refuse(f, ErrBusy.Error())
+		c.rejectCall(f, ErrBusy.Error())
 		return err
 	}
 	c.link.net.workers.run(func() { c.serveCall(ctx, h, f) })
 	return nil
 }
 
-func (c *conn) refuse(f frame, text string) {
+func (c *conn) rejectCall(f frame, text string) {
 	defer f.payload.release()
 	c.replyError(f, text)
 }
@@ -41,7 +41,7 @@
 	c.runMu.Lock()
 	defer c.runMu.Unlock()
 	if _, ok := c.running[id]; ok {
-		return false, trace.Wrap(ErrMalformed, "call %d is running already", id)
+		return false, trace.Wrap(ErrMalformed, "call ID %d is already in use", id)
 	}
 	if len(c.running) >= c.link.net.opts.MaxCalls {
 		return false, nil
@@ -50,7 +50,7 @@
 	return true, nil
 }
 
-// endCall forgets a call and ends its context.
+// endCall removes a call and cancels its context.
 func (c *conn) endCall(id uint32) {
 	c.runMu.Lock()
 	cancel := c.running[id]
@@ -67,24 +67,24 @@
 	return len(c.running)
 }
 
-// serveCall runs the handler and queues its answer.
+// serveCall runs the handler and queues its response.
 func (c *conn) serveCall(ctx context.Context, h Handler, f frame) {
 	defer f.payload.release()
 	defer c.endCall(f.id)
-	answer, err := h(ctx, c.remote, f.bytes())
+	resp, err := h(ctx, c.remote, f.bytes())
 	if err != nil {
 		c.replyError(f, err.Error())
 		return
 	}
 	e := getEncoder()
 	defer e.release()
-	if err := e.encode(answer); err != nil {
+	if err := e.encode(resp); err != nil {
 		c.replyError(f, err.Error())
 		return
 	}
-	if e.buf.Len()+frameBytes > c.link.net.opts.MaxFrameBytes {
+	if e.buf.Len()+frameOverheadBytes > c.link.net.opts.MaxFrameBytes {
 		c.replyError(f, ErrTooLarge.Error())
 		return
 	}
-	c.reply(frameAnswer, f.kind, f.id, e.buf.Bytes())
+	c.reply(frameResponse, f.kind, f.id, e.buf.Bytes())
 }
--- a/internal/peer/tcp.go
+++ b/internal/peer/tcp.go
@@ -14,33 +14,33 @@
 	"masticturn/internal/wait"
 )
 
-// ServiceName is the name under which the kernel knows the network.
+// ServiceName is the name under which the network is registered in the kernel.
 const ServiceName = "peer.network"
 
-// How often connections are looked at: every sweepInterval while one is silent,
-// which adds to the time in which it is found, else every sweepRest, as each look
-// wakes a process that may have nothing else to do. A connection counts as silent
-// when an ack is overdue by more than silentAfter; with sweepRest that is well before
-// anything is done about it.
+// Intervals of checking connections. The fast interval is used while a connection
+// is silent, because it delays the detection of dead connections; the slow one
+// otherwise, because each check wakes a process that may be idle. A connection is
+// silent when an ack has been outstanding for longer than silentAfter. At the slow
+// interval this is noticed well before the first timeout, Options.PingAfter.
 const (
-	sweepInterval = 50 * time.Millisecond
-	sweepRest     = 200 * time.Millisecond
-	silentAfter   = 100 * time.Millisecond
+	fastSweepInterval = 50 * time.Millisecond
+	slowSweepInterval = 200 * time.Millisecond
+	silentAfter       = 100 * time.Millisecond
 )
 
-// keyCheckInterval is how often the key files are looked at.
+// keyCheckInterval is how often the key files are checked for changes.
 const keyCheckInterval = 5 * time.Second
 
-// TCP is a Network over TCP. One connection serves both ways between two VMs:
-// each end uses the one that stands, whoever dialed it.
+// TCP is a Network over TCP. Two VMs use one connection in both directions,
+// whichever end dialed it.
 type TCP struct {
 	opts     Options
-	handlers [kinds]Handler
-	meters   *meters
+	handlers [kindCount]Handler
+	counters *counters
 	keys     *keys // nil without TLS
-	workers  *workers
+	workers  *workerPool
 	listener net.Listener
-	slots    chan struct{} // one token for each accepted connection
+	slots    chan struct{} // semaphore of accepted connections
 	calls    sync.Pool     // of *call
 
 	ctx    context.Context
@@ -49,7 +49,7 @@
 
 	mu        sync.Mutex
 	addresses map[string]string // by VM
-	links     map[string]*link  // by VM, those in use
+	links     map[string]*link  // by VM
 	stopped   bool
 }
 
@@ -58,15 +58,15 @@
 	_ kernel.Service = (*TCP)(nil)
 )
 
-// NewTCP returns a network that is not started yet. It reads the key files.
+// NewTCP returns a network that has not been started. It reads the key files.
 func NewTCP(opts Options) (*TCP, error) {
 	opts.setDefaults()
 	t := &TCP{
-		opts:    opts,
-		meters:  newMeters(opts.Metrics),
-		workers: newWorkers(),
-		slots:   make(chan struct{}, opts.MaxConnections),
-		links:   make(map[string]*link),
+		opts:     opts,
+		counters: newCounters(opts.Metrics),
+		workers:  newWorkerPool(),
+		slots:    make(chan struct{}, opts.MaxConnections),
+		links:    make(map[string]*link),
 
 		addresses: make(map[string]string),
 		calls:     sync.Pool{New: newCall},
@@ -83,10 +83,10 @@
 	return t, nil
 }
 
-// Provision does nothing: the network depends on no service.
+// Provision does nothing: the network does not depend on other services.
 func (t *TCP) Provision(*kernel.Kernel) error { return nil }
 
-// Start opens the listener.
+// Start opens the listener and starts the background goroutines.
 func (t *TCP) Start(context.Context) error {
 	t.listener = t.opts.Listener
 	if t.listener == nil {
@@ -104,18 +104,20 @@
 	return nil
 }
 
-// Address returns the address of the listener; it must be started.
+// Address returns the address of the listener. The network must have been started.
 func (t *TCP) Address() string { return t.listener.Addr().String() }
 
-// Drain does nothing: the services above the network drain.
+// Drain does nothing: the services that use the network drain themselves.
 func (t *TCP) Drain(context.Context) error { return nil }
 
-// flushTime bounds how long Stop waits for what is queued to be written.
-const flushTime = 200 * time.Millisecond
+// flushTimeout is the longest time for which Stop waits for queued frames to be
+// written.
+const flushTimeout = 200 * time.Millisecond
 
-// Stop writes what is queued, for a short while, and closes all connections.
+// Stop waits up to flushTimeout for queued frames to be written and closes all
+// connections.
 func (t *TCP) Stop(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, flushTime)
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	t.flush(ctx)
 	t.mu.Lock()
@@ -125,7 +127,7 @@
 	if t.listener != nil {
 		_ = t.listener.Close()
 	}
-	for _, l := range t.snapshot() {
+	for _, l := range t.allLinks() {
 		l.closeAll(ErrClosed)
 	}
 	t.wg.Wait()
@@ -133,22 +135,22 @@
 	return nil
 }
 
-// flushPoll is how often flush looks whether all is written.
-const flushPoll = 5 * time.Millisecond
+// flushPollInterval is how often flush checks whether all frames are written.
+const flushPollInterval = 5 * time.Millisecond
 
 func (t *TCP) flush(ctx context.Context) {
-	for _, l := range t.snapshot() {
-		for l.unwritten() {
+	for _, l := range t.allLinks() {
+		for l.hasUnwritten() {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(flushPoll):
+			case <-time.After(flushPollInterval):
 			}
 		}
 	}
 }
 
-// spawn runs f until Stop; Stop waits for it.
+// spawn runs f in a goroutine for which Stop waits. After Stop it does nothing.
 func (t *TCP) spawn(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,7 +167,7 @@
 // Handle sets the handler of a kind.
 func (t *TCP) Handle(kind Kind, h Handler) { t.handlers[kind] = h }
 
-// SetAddress tells where a VM listens.
+// SetAddress sets the address at which a VM listens, or removes it if empty.
 func (t *TCP) SetAddress(vm, address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,8 +181,8 @@
 	}
 }
 
-// link returns the link to a VM and makes it if there is none. It stays in the
-// table until its release.
+// link returns the link to a VM and creates it if necessary. The link is not
+// removed before the caller calls release.
 func (t *TCP) link(vm string) *link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,13 +191,13 @@
 		l = newLink(t, vm, t.addresses[vm])
 		t.links[vm] = l
 	}
-	l.users.Add(1)
+	l.refs.Add(1)
 	return l
 }
 
-func (l *link) release() { l.users.Add(-1) }
+func (l *link) release() { l.refs.Add(-1) }
 
-func (t *TCP) snapshot() []*link {
+func (t *TCP) allLinks() []*link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	links := make([]*link, 0, len(t.links))
@@ -217,8 +219,8 @@
 	return l.send(kind, e.buf.Bytes())
 }
 
-// Call sends a message and waits for its answer.
-func (t *TCP) Call(ctx context.Context, to string, kind Kind, msg, answer any) error {
+// Call sends a message and waits for its response.
+func (t *TCP) Call(ctx context.Context, to string, kind Kind, msg, resp any) error {
 	if ctx.Err() != nil {
 		return &Error{Peer: to, Step: StepQueue, Err: ctx.Err()}
 	}
@@ -234,11 +236,11 @@
 		return res.err
 	}
 	defer res.payload.release()
-	if answer == nil {
+	if resp == nil {
 		return nil
 	}
 	f := frame{payload: res.payload}
-	if err := Decode(f.bytes(), answer); err != nil {
+	if err := Decode(f.bytes(), resp); err != nil {
 		return &Error{Peer: to, Step: StepDecode, Err: err}
 	}
 	return nil
@@ -248,15 +250,15 @@
 	if err := e.encode(msg); err != nil {
 		return &Error{Peer: to, Step: StepEncode, Err: err}
 	}
-	if e.buf.Len()+frameBytes > t.opts.MaxFrameBytes {
+	if e.buf.Len()+frameOverheadBytes > t.opts.MaxFrameBytes {
 		return &Error{Peer: to, Step: StepEncode, Err: ErrTooLarge}
 	}
 	return nil
 }
 
-// acceptPause is the wait after a failed accept, such as for want of file
-// descriptors.
-const acceptPause = 10 * time.Millisecond
+// acceptErrorDelay is the delay after a failed accept, for example when the
+// process has run out of file descriptors.
+const acceptErrorDelay = 10 * time.Millisecond
 
 func (t *TCP) accept() {
 	for {
@@ -271,7 +273,7 @@
 			if t.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptErrorDelay)
 			continue
 		}
 		t.spawn(func() {
@@ -281,19 +283,19 @@
 	}
 }
 
-// serve runs an accepted connection to its end.
+// serve serves an accepted connection until it is closed.
 func (t *TCP) serve(raw net.Conn) {
 	ctx, cancel := context.WithTimeout(t.ctx, t.opts.DialTimeout)
 	defer cancel()
-	unhook := context.AfterFunc(t.ctx, func() { _ = raw.Close() })
-	defer unhook()
+	stop := context.AfterFunc(t.ctx, func() { _ = raw.Close() })
+	defer stop()
 	s, err := t.handshake(ctx, raw, true, "")
 	if err != nil {
-		t.reportHandshake(raw.RemoteAddr().String(), err)
+		t.reportHandshakeError(raw.RemoteAddr().String(), err)
 		_ = raw.Close()
 		return
 	}
-	t.meters.accepted.Inc()
+	t.counters.accepted.Inc()
 	l := t.link(s.remote.VM)
 	defer l.release()
 	c := newConn(l, s, false)
@@ -301,24 +303,25 @@
 	c.run()
 }
 
-func (t *TCP) reportHandshake(who string, err error) {
+func (t *TCP) reportHandshakeError(who string, err error) {
 	switch {
 	case errors.Is(err, ErrRefused):
-		t.meters.refused.Inc()
+		t.counters.refused.Inc()
 		t.opts.Logger.Log(eventRefused, telemetry.Peer(who), telemetry.Step(string(StepConnect)), telemetry.Err(err))
 	case errors.Is(err, ErrMalformed):
-		t.meters.bad.Inc()
-		t.opts.Logger.Log(eventMalformed, telemetry.Peer(who), telemetry.Step(string(StepConnect)), telemetry.Err(err))
+		t.counters.malformed.Inc()
+		t.opts.Logger.Log(eventMalformedFrame, telemetry.Peer(who), telemetry.Step(string(StepConnect)), telemetry.Err(err))
 	default:
 		t.opts.Logger.Log(eventClosed, telemetry.Peer(who), telemetry.Step(string(StepConnect)), telemetry.Err(err))
 	}
 }
 
-// sweep looks after all connections until the network stops. A pause of this
-// process is not taken for silence of the peers.
+// sweep checks all connections periodically until the network stops. It measures
+// by how much a check is late, so that a pause of this process is not taken for
+// silence of the peers.
 func (t *TCP) sweep() {
 	last := time.Now()
-	interval := sweepRest
+	interval := slowSweepInterval
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	for {
@@ -330,33 +333,34 @@
 		now := time.Now()
 		paused := now.Sub(last) - interval
 		last = now
-		interval = sweepRest
+		interval = slowSweepInterval
 		if t.sweepLinks(now, paused) {
-			interval = sweepInterval
+			interval = fastSweepInterval
 		}
 		timer.Reset(interval)
 	}
 }
 
-// sweepLinks looks after all connections once and reports whether one is silent.
+// sweepLinks checks all connections once and reports whether any is silent.
 func (t *TCP) sweepLinks(now time.Time, paused time.Duration) (silent bool) {
-	for _, l := range t.snapshot() {
-		empty, waits := l.sweep(now, paused)
-		silent = silent || waits
-		if empty {
-			t.forget(l)
+	for _, l := range t.allLinks() {
+		unused, linkSilent := l.sweep(now, paused)
+		silent = silent || linkSilent
+		if unused {
+			t.removeIfUnused(l)
 		}
 	}
 	return silent
 }
 
-// forget removes a link that holds nothing; the next message makes it again.
-func (t *TCP) forget(l *link) {
+// removeIfUnused removes a link if it is still unused. The next message to the VM
+// creates it again.
+func (t *TCP) removeIfUnused(l *link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.unused(time.Now()) {
+	if l.isUnused(time.Now()) {
 		delete(t.links, l.vm)
 	}
 }
--- a/internal/peer/tcp_test.go
+++ b/internal/peer/tcp_test.go
@@ -17,35 +17,35 @@
 	"masticturn/internal/telemetry"
 )
 
-func TestCallBothWaysOnOneConnection(t *testing.T) {
+func TestBothPeersCallOverOneConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, a, b, stop := pairOf(t, nil)
+		p, a, b, stop := startPair(t, nil)
 		defer stop()
 		for range 3 {
-			if err := ask(a, "b", KindPermit, time.Second); err != nil {
+			if err := callWithTimeout(a, "b", KindPermit, time.Second); err != nil {
 				t.Fatal(err)
 			}
-			if err := ask(b, "a", KindPermit, time.Second); err != nil {
+			if err := callWithTimeout(b, "a", KindPermit, time.Second); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if p.dials() != 1 {
-			t.Errorf("%d connections, want 1", p.dials())
+		if p.dialCount() != 1 {
+			t.Errorf("%d connections, want 1", p.dialCount())
 		}
 	})
 }
 
 func TestSendKeepsOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPipes()
-		a, b := p.start(t, "a", nil), p.start(t, "b", nil)
+		p := newPipeNetwork()
+		a, b := p.startNetwork(t, "a", nil), p.startNetwork(t, "b", nil)
 		defer stopAll(a, b)
 		a.SetAddress("b", "b")
-		var next atomic.Int64
+		var nextNumber atomic.Int64
 		b.handlers[KindRelease] = func(_ context.Context, from string, payload []byte) (any, error) {
 			var m message
-			if err := Decode(payload, &m); err != nil || from != "a" || !next.CompareAndSwap(int64(m.Number), int64(m.Number)+1) {
-				t.Errorf("from %s: %+v, %v; want number %d", from, m, err, next.Load())
+			if err := Decode(payload, &m); err != nil || from != "a" || !nextNumber.CompareAndSwap(int64(m.Number), int64(m.Number)+1) {
+				t.Errorf("from %s: %+v, %v; want number %d", from, m, err, nextNumber.Load())
 			}
 			return nil, nil
 		}
@@ -55,27 +55,28 @@
 			}
 		}
 		time.Sleep(time.Second)
-		if next.Load() != 100 {
-			t.Errorf("%d messages arrived, want 100", next.Load())
+		if nextNumber.Load() != 100 {
+			t.Errorf("%d messages arrived, want 100", nextNumber.Load())
 		}
 	})
 }
 
-// A one-way message of a kind or form that is not known is told once for each
-// kind, and the connection goes on.
-func TestMessagesOfAnotherReleaseAreTold(t *testing.T) {
+// TestUnhandledMessagesAreLoggedOncePerKind sends one-way messages without a
+// handler or with a failing one, as when two releases run side by side. Each kind
+// must be logged once and the connection must stay open.
+func TestUnhandledMessagesAreLoggedOncePerKind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
-		p := newPipes()
-		a := p.start(t, "a", nil)
-		b := p.start(t, "b", func(o *Options) {
+		p := newPipeNetwork()
+		a := p.startNetwork(t, "a", nil)
+		b := p.startNetwork(t, "b", func(o *Options) {
 			o.Logger = telemetry.NewLogger(&log, telemetry.FormatJSON, logrus.InfoLevel, "b")
 		})
 		defer stopAll(a, b)
 		a.SetAddress("b", "b")
-		got := 0
-		b.handlers[KindGrant] = func(context.Context, string, []byte) (any, error) { got++; return nil, nil }
-		b.handlers[KindDemand] = func(context.Context, string, []byte) (any, error) { return nil, errors.New("another form") }
+		handled := 0
+		b.handlers[KindGrant] = func(context.Context, string, []byte) (any, error) { handled++; return nil, nil }
+		b.handlers[KindDemand] = func(context.Context, string, []byte) (any, error) { return nil, errors.New("cannot decode") }
 		for _, kind := range []Kind{KindRelease, KindRelease, KindDemand, KindDemand, KindGrant} {
 			if err := a.Send("b", kind, &message{}); err != nil {
 				t.Fatal(err)
@@ -83,18 +84,18 @@
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if n := strings.Count(log.String(), eventUnread.Name); n != 2 || got != 1 {
-			t.Errorf("%d lines, %d messages handled:\n%s", n, got, log.String())
+		if n := strings.Count(log.String(), eventUnhandledMessage.Name); n != 2 || handled != 1 {
+			t.Errorf("%d log lines, %d messages handled; want 2 and 1:\n%s", n, handled, log.String())
 		}
-		if n := b.meters.unread.Get(); n != 4 {
-			t.Errorf("%d messages are counted, want 4", n)
+		if n := b.counters.unhandled.Get(); n != 4 {
+			t.Errorf("%d unhandled messages counted, want 4", n)
 		}
 	})
 }
 
 func TestErrorsNameStepAndPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, a, _, stop := pairOf(t, nil)
+		_, a, _, stop := startPair(t, nil)
 		defer stop()
 		a.SetAddress("nowhere", "nowhere")
 		cases := []struct {
@@ -109,7 +110,7 @@
 			{"b", KindKeyOwner, StepRemote, false},
 		}
 		for _, c := range cases {
-			err := ask(a, c.to, c.kind, 3*time.Second)
+			err := callWithTimeout(a, c.to, c.kind, 3*time.Second)
 			var e *Error
 			if !errors.As(err, &e) || e.Peer != c.to || e.Step != c.step || NotSent(err) != c.notSent {
 				t.Errorf("%s: got %v, want step %s", c.to, err, c.step)
@@ -118,118 +119,119 @@
 	})
 }
 
-// TestSilentConnectionIsReplaced lets a connection go silent in one or both
-// ways while calls are made at a steady pace.
+// TestSilentConnectionIsReplaced discards all data of an open connection in one or
+// both directions. The next call must fail once the silence is detected, and the
+// call after it must use a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		near, far bool
-	}{{"both ways", true, true}, {"to the peer", true, false}, {"from the peer", false, true}} {
+	}{{"both directions", true, true}, {"to the peer", true, false}, {"from the peer", false, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p, a, b, stop := pairOf(t, nil)
+				p, a, b, stop := startPair(t, nil)
 				defer stop()
-				if err := ask(a, "b", KindPermit, time.Second); err != nil {
+				if err := callWithTimeout(a, "b", KindPermit, time.Second); err != nil {
 					t.Fatal(err)
 				}
-				first := p.last()
+				first := p.newestConn()
 				first.silent.Store(c.near)
-				first.other.silent.Store(c.far)
+				first.remote.silent.Store(c.far)
 				start := time.Now()
-				err := ask(a, "b", KindPermit, time.Hour)
-				found := a.meters.silent.Get() + b.meters.silent.Get()
-				if NotSent(err) || errors.Is(err, context.DeadlineExceeded) || found == 0 {
-					t.Errorf("got %v, want that one end finds the connection silent", err)
+				err := callWithTimeout(a, "b", KindPermit, time.Hour)
+				closedAsSilent := a.counters.silent.Get() + b.counters.silent.Get()
+				if NotSent(err) || errors.Is(err, context.DeadlineExceeded) || closedAsSilent == 0 {
+					t.Errorf("got %v, want an error after one end closes the silent connection", err)
 				}
-				if d := time.Since(start); d > defaultDeadAfter+2*sweepInterval {
-					t.Errorf("found after %v", d)
+				if d := time.Since(start); d > defaultDeadAfter+2*fastSweepInterval {
+					t.Errorf("silence detected after %v", d)
 				}
-				if err := ask(a, "b", KindPermit, 10*time.Millisecond); err != nil {
-					t.Errorf("a new connection: %v", err)
+				if err := callWithTimeout(a, "b", KindPermit, 10*time.Millisecond); err != nil {
+					t.Errorf("call on a new connection: %v", err)
 				}
 			})
 		})
 	}
 }
 
-func TestNewMessagesLeaveASilentConnectionEarly(t *testing.T) {
+func TestNewMessagesAvoidSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, a, _, stop := pairOf(t, nil)
+		p, a, _, stop := startPair(t, nil)
 		defer stop()
-		_ = ask(a, "b", KindPermit, time.Second)
-		p.last().silent.Store(true)
+		_ = callWithTimeout(a, "b", KindPermit, time.Second)
+		p.newestConn().silent.Store(true)
 		_ = a.Send("b", KindPermit, &message{})
-		time.Sleep(defaultDetachAfter + 2*sweepInterval)
-		if err := ask(a, "b", KindPermit, 10*time.Millisecond); err != nil {
-			t.Errorf("a new connection: %v", err)
+		time.Sleep(defaultDetachAfter + 2*fastSweepInterval)
+		if err := callWithTimeout(a, "b", KindPermit, 10*time.Millisecond); err != nil {
+			t.Errorf("call on a new connection: %v", err)
 		}
 	})
 }
 
 func TestSlowHandlerIsNotSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, a, _, stop := pairOf(t, nil)
+		p, a, _, stop := startPair(t, nil)
 		defer stop()
-		err := ask(a, "b", KindDemand, 10*time.Second)
-		if !errors.Is(err, context.DeadlineExceeded) || p.dials() != 1 {
-			t.Errorf("got %v over %d connections, want the deadline over one", err, p.dials())
+		err := callWithTimeout(a, "b", KindDemand, 10*time.Second)
+		if !errors.Is(err, context.DeadlineExceeded) || p.dialCount() != 1 {
+			t.Errorf("got %v with %d connections, want the deadline with 1", err, p.dialCount())
 		}
 	})
 }
 
-func TestPauseOfThisProcessIsNotSilence(t *testing.T) {
+func TestLocalPauseIsNotSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, a, _, stop := pairOf(t, nil)
+		_, a, _, stop := startPair(t, nil)
 		defer stop()
-		_ = ask(a, "b", KindPermit, time.Second)
+		_ = callWithTimeout(a, "b", KindPermit, time.Second)
 		l := a.link("b")
 		l.mu.Lock()
 		c := l.current
 		c.sent, c.unackedSince = c.acked.Load()+1, time.Now()
-		c.progress.Store(0)
+		c.lastProgress.Store(0)
 		later := time.Now().Add(time.Minute)
 		err := c.check(later, time.Minute)
 		l.mu.Unlock()
 		if err != nil {
-			t.Errorf("after a pause: %v", err)
+			t.Errorf("check after a pause: %v", err)
 		}
 	})
 }
 
 func TestIdleConnectionCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, a, b, stop := pairOf(t, nil)
+		p, a, b, stop := startPair(t, nil)
 		defer stop()
 		for range 2 {
-			if err := ask(a, "b", KindPermit, time.Second); err != nil {
+			if err := callWithTimeout(a, "b", KindPermit, time.Second); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(defaultIdleTimeout + time.Second)
-			for _, l := range append(a.snapshot(), b.snapshot()...) {
+			for _, l := range append(a.allLinks(), b.allLinks()...) {
 				l.mu.Lock()
 				if len(l.conns) != 0 {
-					t.Errorf("%s still holds a connection", l.net.opts.VM)
+					t.Errorf("%s still has a connection", l.net.opts.VM)
 				}
 				l.mu.Unlock()
 			}
 		}
-		if p.dials() != 2 {
-			t.Errorf("%d connections, want 2", p.dials())
+		if p.dialCount() != 2 {
+			t.Errorf("%d connections, want 2", p.dialCount())
 		}
 	})
 }
 
-func TestUnusedLinksAreForgotten(t *testing.T) {
+func TestUnusedLinksAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, a, b, stop := pairOf(t, nil)
+		_, a, b, stop := startPair(t, nil)
 		defer stop()
 		for range 2 {
-			if err := ask(a, "b", KindPermit, time.Second); err != nil {
+			if err := callWithTimeout(a, "b", KindPermit, time.Second); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(defaultIdleTimeout + time.Second)
-			if n := len(a.snapshot()) + len(b.snapshot()); n != 0 {
-				t.Errorf("%d links are kept, want none", n)
+			if n := len(a.allLinks()) + len(b.allLinks()); n != 0 {
+				t.Errorf("%d links left, want 0", n)
 			}
 		}
 	})
@@ -237,9 +239,9 @@
 
 func TestSendNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPipes()
-		l := p.listen("b") // accepts, and never says a word
-		a := p.start(t, "a", func(o *Options) { o.MaxQueueBytes = 1000 })
+		p := newPipeNetwork()
+		l := p.listen("b") // accepts a connection and sends nothing
+		a := p.startNetwork(t, "a", func(o *Options) { o.MaxQueueBytes = 1000 })
 		defer stopAll(a)
 		go func() { _, _ = l.Accept() }()
 		a.SetAddress("b", "b")
@@ -248,29 +250,29 @@
 		for range 100 {
 			err = errors.Join(err, a.Send("b", KindRelease, &message{Text: "some text"}))
 		}
-		if !errors.Is(err, ErrQueueFull) || a.meters.dropped.Get() == 0 {
-			t.Errorf("got %v, want a full queue", err)
+		if !errors.Is(err, ErrQueueFull) || a.counters.dropped.Get() == 0 {
+			t.Errorf("got %v, want ErrQueueFull", err)
 		}
 		if time.Since(start) != 0 {
-			t.Error("Send took time")
+			t.Error("Send blocked")
 		}
 		time.Sleep(2 * defaultDialTimeout)
 		if err := a.Send("b", KindRelease, &message{}); err != nil {
-			t.Errorf("after the backoff: %v, want another dial", err)
+			t.Errorf("Send after the backoff: %v, want a new dial", err)
 		}
 	})
 }
 
-func TestQueueOfAStuckConnectionIsBounded(t *testing.T) {
+func TestWriteQueueIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPipes()
-		l := p.listen("b") // says hello, and reads nothing more
-		a := p.start(t, "a", func(o *Options) { o.MaxQueueBytes = 1000 })
+		p := newPipeNetwork()
+		l := p.listen("b") // completes the handshake and reads nothing more
+		a := p.startNetwork(t, "a", func(o *Options) { o.MaxQueueBytes = 1000 })
 		defer stopAll(a)
 		a.SetAddress("b", "b")
 		go func() {
 			conn, _ := l.Accept()
-			_, _ = readFrame(bufio.NewReaderSize(conn, frameBytes), maxHelloBytes)
+			_, _ = readFrame(bufio.NewReaderSize(conn, frameOverheadBytes), maxHelloBytes)
 			payload, _ := Encode(&hello{Version: protocolVersion, VM: "b"})
 			_, _ = conn.Write(appendFrame(nil, frameHello, 0, 0, 0, payload))
 		}()
@@ -281,49 +283,49 @@
 			err = errors.Join(err, a.Send("b", KindRelease, &message{Text: "some text"}))
 		}
 		if l := a.link("b"); l.current == nil || !errors.Is(err, ErrQueueFull) {
-			t.Errorf("connected %v, got %v; want a full queue of a connection", l.current != nil, err)
+			t.Errorf("connected %v, got %v; want a connection and ErrQueueFull", l.current != nil, err)
 		}
 	})
 }
 
-func TestIdleConnectionIsQuiet(t *testing.T) {
+func TestIdleConnectionSendsFewPings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, a, b, stop := pairOf(t, nil)
+		_, a, b, stop := startPair(t, nil)
 		defer stop()
-		_ = ask(a, "b", KindPermit, time.Second)
+		_ = callWithTimeout(a, "b", KindPermit, time.Second)
 		time.Sleep(defaultIdleTimeout / 2)
-		pings := a.meters.out[KindPing].Get() + b.meters.out[KindPing].Get()
-		if pings > 2*frameBytes {
-			t.Errorf("%d bytes of pings on an idle connection", pings)
+		pings := a.counters.bytesOut[KindPing].Get() + b.counters.bytesOut[KindPing].Get()
+		if pings > 2*frameOverheadBytes {
+			t.Errorf("%d bytes of pings on an idle connection, want at most 2 pings", pings)
 		}
 	})
 }
 
-func TestBackoffBoundsDials(t *testing.T) {
+func TestBackoffLimitsDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPipes()
-		a := p.start(t, "a", nil)
+		p := newPipeNetwork()
+		a := p.startNetwork(t, "a", nil)
 		defer stopAll(a)
 		a.SetAddress("b", "b")
 		for range 1000 {
 			_ = a.Send("b", KindRelease, &message{})
 			time.Sleep(10 * time.Millisecond)
 		}
-		if n := a.meters.dials.Get(); n < 5 || n > 30 {
-			t.Errorf("%d dials in 10 s", n)
+		if n := a.counters.dials.Get(); n < 5 || n > 30 {
+			t.Errorf("%d dials in 10 s, want 5 to 30", n)
 		}
-		b := p.start(t, "b", nil)
+		b := p.startNetwork(t, "b", nil)
 		defer stopAll(b)
 		time.Sleep(2 * defaultMaxBackoff)
-		if err := ask(a, "b", KindPermit, time.Second); err != nil {
-			t.Errorf("after b came back: %v", err)
+		if err := callWithTimeout(a, "b", KindPermit, time.Second); err != nil {
+			t.Errorf("call after b has started: %v", err)
 		}
 	})
 }
 
 func TestCancelReachesHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, a, b, stop := pairOf(t, nil)
+		_, a, b, stop := startPair(t, nil)
 		defer stop()
 		done := make(chan time.Time, 1)
 		b.handlers[KindGrant] = func(ctx context.Context, _ string, _ []byte) (any, error) {
@@ -332,51 +334,51 @@
 			return nil, nil
 		}
 		start := time.Now()
-		_ = ask(a, "b", KindGrant, 100*time.Millisecond)
+		_ = callWithTimeout(a, "b", KindGrant, 100*time.Millisecond)
 		if d := (<-done).Sub(start); d != 100*time.Millisecond {
-			t.Errorf("canceled after %v", d)
+			t.Errorf("canceled after %v, want 100ms", d)
 		}
-		go func() { _ = ask(a, "b", KindGrant, time.Hour) }()
+		go func() { _ = callWithTimeout(a, "b", KindGrant, time.Hour) }()
 		time.Sleep(time.Second)
 		a.link("b").closeAll(ErrClosed)
-		<-done // the end of the connection cancels as well
+		<-done // closing the connection cancels the call, too
 	})
 }
 
-func TestBothDialAtOnce(t *testing.T) {
+func TestSimultaneousDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, a, b, stop := pairOf(t, nil)
+		p, a, b, stop := startPair(t, nil)
 		defer stop()
-		p.delay = 10 * time.Millisecond
+		p.dialDelay = 10 * time.Millisecond
 		errs := make(chan error, 2)
-		go func() { errs <- ask(a, "b", KindPermit, time.Second) }()
-		go func() { errs <- ask(b, "a", KindPermit, time.Second) }()
+		go func() { errs <- callWithTimeout(a, "b", KindPermit, time.Second) }()
+		go func() { errs <- callWithTimeout(b, "a", KindPermit, time.Second) }()
 		if err := errors.Join(<-errs, <-errs); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		if p.dials() != 2 {
-			t.Fatalf("%d dials, want that both dialed", p.dials())
+		if p.dialCount() != 2 {
+			t.Fatalf("%d dials, want 2", p.dialCount())
 		}
 		for range 200 {
-			_ = ask(a, "b", KindPermit, time.Second)
-			_ = ask(b, "a", KindPermit, time.Second)
+			_ = callWithTimeout(a, "b", KindPermit, time.Second)
+			_ = callWithTimeout(b, "a", KindPermit, time.Second)
 			time.Sleep(time.Second)
 		}
 		l := a.link("b")
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if len(l.conns) != 1 {
-			t.Errorf("%d connections are kept, want 1", len(l.conns))
+			t.Errorf("%d connections left, want 1", len(l.conns))
 		}
 	})
 }
 
-func TestMalformedFrameCostsItsConnectionOnly(t *testing.T) {
+func TestMalformedFrameClosesOnlyItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, a, b, stop := pairOf(t, nil)
+		p, a, b, stop := startPair(t, nil)
 		defer stop()
-		_ = ask(a, "b", KindPermit, time.Second)
+		_ = callWithTimeout(a, "b", KindPermit, time.Second)
 		raw, err := p.dial(context.Background(), "tcp", "b")
 		if err != nil {
 			t.Fatal(err)
@@ -386,19 +388,19 @@
 		_, _ = readFrame(bufio.NewReader(raw), maxHelloBytes)
 		_, _ = raw.Write(appendFrame(nil, frameSend, KindPermit, 0, 0, []byte{0xdd, 0xff, 0xff, 0xff, 0xff}))
 		synctest.Wait()
-		if b.meters.bad.Get() != 1 {
-			t.Error("the malformed frame is not counted")
+		if b.counters.malformed.Get() != 1 {
+			t.Error("the malformed frame was not counted")
 		}
 		if _, err := raw.Write([]byte{0}); err == nil {
-			t.Error("the connection of the malformed frame stands")
+			t.Error("the connection that sent the malformed frame is still open")
 		}
-		if err := ask(a, "b", KindPermit, time.Second); err != nil || p.dials() != 2 {
-			t.Errorf("the other connection: %v, %d dials", err, p.dials())
+		if err := callWithTimeout(a, "b", KindPermit, time.Second); err != nil || p.dialCount() != 2 {
+			t.Errorf("call on the other connection: %v, %d dials; want 2 dials", err, p.dialCount())
 		}
 	})
 }
 
-func TestHelloRefuses(t *testing.T) {
+func TestInvalidHelloIsRefused(t *testing.T) {
 	cases := map[string]hello{
 		"version":  {Version: protocolVersion + 1, VM: "x"},
 		"no name":  {Version: protocolVersion},
@@ -407,44 +409,44 @@
 	for name, h := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p, _, b, stop := pairOf(t, nil)
+				p, _, b, stop := startPair(t, nil)
 				defer stop()
 				raw, _ := p.dial(context.Background(), "tcp", "b")
 				payload, _ := Encode(&h)
 				_, _ = raw.Write(appendFrame(nil, frameHello, 0, 0, 0, payload))
 				synctest.Wait()
-				if b.meters.refused.Get() != 1 {
-					t.Error("not refused")
+				if b.counters.refused.Get() != 1 {
+					t.Error("hello was not refused")
 				}
 			})
 		})
 	}
 }
 
-func TestAddressOfAnUnknownVM(t *testing.T) {
+func TestCallByAddressWhenVMIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPipes()
-		a, b := p.start(t, "a", nil), p.start(t, "b", nil)
+		p := newPipeNetwork()
+		a, b := p.startNetwork(t, "a", nil), p.startNetwork(t, "b", nil)
 		defer stopAll(a, b)
-		c := newPipes()
+		c := newPipeNetwork()
 		c.listeners["10.0.0.1:7000"] = p.listeners["b"]
 		a.opts.DialContext = func(ctx context.Context, n, address string) (net.Conn, error) { return c.dial(ctx, n, address) }
 		a.SetAddress("10.0.0.1:7000", "10.0.0.1:7000")
-		if err := ask(a, "10.0.0.1:7000", KindPermit, time.Second); err != nil {
+		if err := callWithTimeout(a, "10.0.0.1:7000", KindPermit, time.Second); err != nil {
 			t.Error(err)
 		}
 		a.SetAddress("c", "10.0.0.1:7000")
-		if err := ask(a, "c", KindPermit, time.Second); !NotSent(err) || b.meters.refused.Get() != 1 {
-			t.Errorf("got %v, want that b refuses what is meant for c", err)
+		if err := callWithTimeout(a, "c", KindPermit, time.Second); !NotSent(err) || b.counters.refused.Get() != 1 {
+			t.Errorf("got %v, want b to refuse a connection meant for c", err)
 		}
 	})
 }
 
-// TestBothEndsPreferTheSameConnection: whichever of two connections comes
-// last at each end, both ends keep the same one.
+// TestBothEndsPreferTheSameConnection checks that after simultaneous dials both ends
+// keep the same connection, in whichever order the two connections are attached.
 func TestBothEndsPreferTheSameConnection(t *testing.T) {
 	now := time.Now()
-	keepsOwn := func(vm, remote string, ownIsNewer bool) bool {
+	keepsDialed := func(vm, remote string, ownIsNewer bool) bool {
 		l := newLink(&TCP{opts: Options{VM: vm, DialTimeout: time.Second}}, remote, "")
 		own, other := &conn{remote: remote, dialed: true, since: now}, &conn{remote: remote, since: now}
 		newer := other
@@ -455,13 +457,13 @@
 		return l.prefers(newer) == ownIsNewer
 	}
 	for _, newer := range []bool{true, false} {
-		if !keepsOwn("a", "b", newer) || keepsOwn("b", "a", newer) {
-			t.Errorf("own newer %v: the connection that a dialed is not kept by both", newer)
+		if !keepsDialed("a", "b", newer) || keepsDialed("b", "a", newer) {
+			t.Errorf("dialed connection is newer: %v; want both ends to keep the connection that a dialed", newer)
 		}
 	}
 	l := newLink(&TCP{opts: Options{VM: "a", DialTimeout: time.Second}}, "b", "")
 	l.current = &conn{remote: "b", dialed: true, since: now}
 	if !l.prefers(&conn{remote: "b", since: now.Add(time.Minute)}) {
-		t.Error("a peer that dials again later is not followed")
+		t.Error("a later connection from the peer must replace the current one")
 	}
 }
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -14,15 +14,15 @@
 	"masticturn/internal/settings"
 )
 
-// keys holds the key files of mutual TLS and reads them again when they
-// change.
+// keys holds the certificate, key and CA certificates for mutual TLS and reloads
+// them when the files change.
 type keys struct {
 	files settings.TLS
 
 	mu      sync.Mutex
 	cert    *tls.Certificate
 	roots   *x509.CertPool
-	modTime time.Time // newest of the three files
+	modTime time.Time // latest modification time of the three files
 }
 
 func newKeys(files settings.TLS) (*keys, error) {
@@ -31,10 +31,10 @@
 	return k, err
 }
 
-// reload reads the files if one of them has changed. On an error the keys read
-// before stay in use.
+// reload reads the files if one of them has changed. On an error the previous keys
+// stay in use.
 func (k *keys) reload() (changed bool, err error) {
-	newest, err := k.newestChange()
+	newest, err := k.newestModTime()
 	if err != nil {
 		return false, err
 	}
@@ -46,7 +46,7 @@
 	k.modTime = newest
 	cert, err := tls.LoadX509KeyPair(k.files.CertFile, k.files.KeyFile)
 	if err != nil {
-		return false, trace.Wrap(err, "read peer keys %s, %s", k.files.CertFile, k.files.KeyFile)
+		return false, trace.Wrap(err, "load peer certificate %s and key %s", k.files.CertFile, k.files.KeyFile)
 	}
 	pem, err := os.ReadFile(k.files.CAFile)
 	if err != nil {
@@ -54,13 +54,13 @@
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return false, trace.BadParameter("peer CA file %s holds no certificate", k.files.CAFile)
+		return false, trace.BadParameter("peer CA file %s contains no certificate", k.files.CAFile)
 	}
 	k.cert, k.roots = &cert, roots
 	return true, nil
 }
 
-func (k *keys) newestChange() (time.Time, error) {
+func (k *keys) newestModTime() (time.Time, error) {
 	var newest time.Time
 	for _, name := range []string{k.files.CertFile, k.files.KeyFile, k.files.CAFile} {
 		info, err := os.Stat(name)
@@ -74,9 +74,9 @@
 	return newest, nil
 }
 
-// config returns the configuration of one handshake. Both ends show a
-// certificate of the CA; the name in it is checked against the hello, since
-// the VM behind an address may not be known before.
+// config returns the TLS configuration for a handshake. Both ends must present a
+// certificate issued by the CA. The name in the certificate is verified against
+// the hello message, because the VM at an address may not be known before.
 func (k *keys) config() *tls.Config {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -85,7 +85,7 @@
 		MinVersion:         tls.VersionTLS13,
 		Certificates:       []tls.Certificate{*k.cert},
 		ClientAuth:         tls.RequireAnyClientCert,
-		InsecureSkipVerify: true, // verifyChain does it, without the name
+		InsecureSkipVerify: true, // verifyChain verifies the chain without the host name
 		VerifyConnection:   func(s tls.ConnectionState) error { return verifyChain(roots, s) },
 	}
 }
@@ -103,10 +103,10 @@
 		Intermediates: intermediates,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
-	return trace.Wrap(err, "verify the peer's certificate")
+	return trace.Wrap(err, "verify peer certificate")
 }
 
-// secure runs the TLS handshake as one of the two ends.
+// secure runs the TLS handshake as server or client.
 func (k *keys) secure(ctx context.Context, raw net.Conn, server bool) (*tls.Conn, error) {
 	conn := tls.Client(raw, k.config())
 	if server {
@@ -118,13 +118,13 @@
 	return conn, nil
 }
 
-// verifyName checks that the certificate of a connection is one for the VM.
-// Plain connections pass.
-func verifyName(conn net.Conn, vm string) error {
-	secured, ok := conn.(*tls.Conn)
+// verifyPeerName verifies that the peer certificate is valid for the VM name.
+// Connections without TLS are accepted.
+func verifyPeerName(conn net.Conn, vm string) error {
+	tlsConn, ok := conn.(*tls.Conn)
 	if !ok {
 		return nil
 	}
-	leaf := secured.ConnectionState().PeerCertificates[0]
-	return trace.Wrap(leaf.VerifyHostname(vm), "check the certificate's name")
+	leaf := tlsConn.ConnectionState().PeerCertificates[0]
+	return trace.Wrap(leaf.VerifyHostname(vm), "verify name in peer certificate")
 }
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -18,13 +18,13 @@
 	"masticturn/internal/settings"
 )
 
-// authority is a CA of the tests.
-type authority struct {
+// testCA is a certificate authority.
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -34,16 +34,16 @@
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "ca"}, IsCA: true, BasicConstraintsValid: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageCertSign,
 	}
-	raw, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cert, _ := x509.ParseCertificate(raw)
-	return &authority{cert, key}
+	cert, _ := x509.ParseCertificate(der)
+	return &testCA{cert, key}
 }
 
-// issue writes key files for a VM into the directory.
-func (a *authority) issue(t *testing.T, dir, vm string) settings.TLS {
+// issue writes a certificate and key for a VM, and the CA certificate, to dir.
+func (a *testCA) issue(t *testing.T, dir, vm string) settings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -53,31 +53,31 @@
 		SerialNumber: big.NewInt(2), DNSNames: []string{vm},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 	}
-	raw, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	keyRaw, _ := x509.MarshalPKCS8PrivateKey(key)
+	keyDER, _ := x509.MarshalPKCS8PrivateKey(key)
 	files := settings.TLS{
 		CertFile: filepath.Join(dir, vm+".crt"), KeyFile: filepath.Join(dir, vm+".key"), CAFile: filepath.Join(dir, vm+".ca"),
 	}
-	writePEM(t, files.CertFile, "CERTIFICATE", raw)
-	writePEM(t, files.KeyFile, "PRIVATE KEY", keyRaw)
+	writePEM(t, files.CertFile, "CERTIFICATE", der)
+	writePEM(t, files.KeyFile, "PRIVATE KEY", keyDER)
 	writePEM(t, files.CAFile, "CERTIFICATE", a.cert.Raw)
 	return files
 }
 
-func writePEM(t *testing.T, file, kind string, raw []byte) {
+func writePEM(t *testing.T, file, blockType string, der []byte) {
 	t.Helper()
-	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: raw}), 0o600); err != nil {
+	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// listenTCP starts a network on loopback.
-func listenTCP(t testing.TB, vm string, keys settings.TLS) *TCP {
+// startTCP starts a network that listens on the loopback interface.
+func startTCP(t testing.TB, vm string, files settings.TLS) *TCP {
 	t.Helper()
-	n, err := NewTCP(Options{VM: vm, Listen: "127.0.0.1:0", TLS: keys})
+	n, err := NewTCP(Options{VM: vm, Listen: "127.0.0.1:0", TLS: files})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,41 +91,41 @@
 
 func TestMutualTLS(t *testing.T) {
 	dir := t.TempDir()
-	ca, strangers := newAuthority(t), newAuthority(t)
-	server := listenTCP(t, "server", ca.issue(t, dir, "server"))
+	ca, otherCA := newTestCA(t), newTestCA(t)
+	server := startTCP(t, "server", ca.issue(t, dir, "server"))
 	cases := []struct {
 		name string
 		vm   string
 		keys settings.TLS
 		ok   bool
 	}{
-		{"known", "known", ca.issue(t, dir, "known"), true},
-		{"plain", "plain", settings.TLS{}, false},
-		{"of another CA", "stranger", strangers.issue(t, dir, "stranger"), false},
-		{"with the certificate of another VM", "thief", ca.issue(t, dir, "owner"), false},
+		{"valid certificate", "known", ca.issue(t, dir, "known"), true},
+		{"no TLS", "plain", settings.TLS{}, false},
+		{"certificate of another CA", "stranger", otherCA.issue(t, dir, "stranger"), false},
+		{"certificate of another VM", "impostor", ca.issue(t, dir, "owner"), false},
 	}
 	for _, c := range cases {
-		client := listenTCP(t, c.vm, c.keys)
+		client := startTCP(t, c.vm, c.keys)
 		client.SetAddress("server", server.Address())
-		if err := ask(client, "server", KindPermit, 5*time.Second); (err == nil) != c.ok {
+		if err := callWithTimeout(client, "server", KindPermit, 5*time.Second); (err == nil) != c.ok {
 			t.Errorf("%s: got %v", c.name, err)
 		}
 	}
 }
 
-func TestServerOfAnotherCAIsRefused(t *testing.T) {
+func TestServerWithUnknownCAIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	server := listenTCP(t, "server", newAuthority(t).issue(t, dir, "server"))
-	client := listenTCP(t, "client", newAuthority(t).issue(t, dir, "client"))
+	server := startTCP(t, "server", newTestCA(t).issue(t, dir, "server"))
+	client := startTCP(t, "client", newTestCA(t).issue(t, dir, "client"))
 	client.SetAddress("server", server.Address())
-	if err := ask(client, "server", KindPermit, 5*time.Second); !errors.Is(err, ErrRefused) {
-		t.Errorf("got %v, want a refusal", err)
+	if err := callWithTimeout(client, "server", KindPermit, 5*time.Second); !errors.Is(err, ErrRefused) {
+		t.Errorf("got %v, want ErrRefused", err)
 	}
 }
 
-func TestKeysAreReadAgain(t *testing.T) {
+func TestChangedKeysAreReloaded(t *testing.T) {
 	dir := t.TempDir()
-	ca := newAuthority(t)
+	ca := newTestCA(t)
 	k, err := newKeys(ca.issue(t, dir, "vm"))
 	if err != nil {
 		t.Fatal(err)
@@ -137,18 +137,18 @@
 		t.Fatal(err)
 	}
 	if changed, err := k.reload(); err != nil || !changed {
-		t.Fatalf("got %v, %v", changed, err)
+		t.Fatalf("reload: changed %v, error %v; want a change", changed, err)
 	}
 	if string(k.config().Certificates[0].Certificate[0]) == string(before) {
-		t.Error("the old certificate is still in use")
+		t.Error("the previous certificate is still in use")
 	}
 	if err := os.WriteFile(k.files.CertFile, []byte("no key"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := k.reload(); err == nil {
-		t.Error("invalid keys were taken")
+		t.Error("invalid keys were accepted")
 	}
 	if k.config().Certificates[0].Certificate == nil {
-		t.Error("the keys read before were given up")
+		t.Error("the previous keys were discarded")
 	}
 }
--- a/internal/peer/worker.go
+++ b/internal/peer/worker.go
@@ -1,34 +1,34 @@
 package peer
 
-// workers runs calls side by side and reuses goroutines, whose stacks have
-// grown already.
-type workers struct {
+// workerPool runs jobs concurrently and reuses goroutines, to avoid growing a new
+// stack for each job.
+type workerPool struct {
 	jobs chan func()
 	stop chan struct{}
-	idle chan struct{} // one token for each goroutine that may wait idle
+	idle chan struct{} // semaphore of idle goroutines
 }
 
-// maxIdleWorkers is how many goroutines wait for calls.
+// maxIdleWorkers is the maximum number of idle goroutines that are kept.
 const maxIdleWorkers = 64
 
-func newWorkers() *workers {
-	return &workers{
+func newWorkerPool() *workerPool {
+	return &workerPool{
 		jobs: make(chan func()),
 		stop: make(chan struct{}),
 		idle: make(chan struct{}, maxIdleWorkers),
 	}
 }
 
-// run runs job on an idle goroutine, or on a new one when none is idle.
-func (w *workers) run(job func()) {
+// run starts job on an idle goroutine, or on a new one if none is idle.
+func (w *workerPool) run(job func()) {
 	select {
 	case w.jobs <- job:
 	default:
-		go w.work(job)
+		go w.runJobs(job)
 	}
 }
 
-func (w *workers) work(job func()) {
+func (w *workerPool) runJobs(job func()) {
 	for {
 		job()
 		select {
@@ -45,5 +45,5 @@
 	}
 }
 
-// close ends the idle goroutines.
-func (w *workers) close() { close(w.stop) }
+// close stops idle goroutines.
+func (w *workerPool) close() { close(w.stop) }
