--- a/internal/peer/peertest/hub.go
+++ b/internal/peer/peertest/hub.go
@@ -1,5 +1,6 @@
-// Package peertest provides an in-memory peer network with loss, delay,
-// duplicates and one-way cuts. It works under testing/synctest.
+// Package peertest provides an in-memory peer network for tests that simulates
+// message loss, delay, duplication and one-way partitions. It works with the fake
+// clock of testing/synctest.
 package peertest
 
 import (
@@ -11,83 +12,84 @@
 	"masticturn/internal/peer"
 )
 
-// Fault is what a one-way link does to messages. The zero Fault delivers all
-// messages, in order and at once.
+// Fault describes the faults of a one-way link. With the zero value all messages are
+// delivered in order and without delay.
 type Fault struct {
 	Drop      float64       // probability that a message is lost
 	Duplicate float64       // probability that a message arrives twice
-	Delay     time.Duration // of each message
-	Jitter    time.Duration // uniform addition to Delay; order is kept
-	Cut       bool          // nothing arrives
+	Delay     time.Duration // delay of each message
+	Jitter    time.Duration // maximum of a uniformly distributed addition to Delay; messages stay in order
+	Cut       bool          // all messages are lost
 }
 
-// Any stands for all VMs in SetFault.
+// Any matches all VMs in SetFault.
 const Any = "*"
 
-type pair struct{ from, to string }
+type direction struct{ from, to string }
 
-// Hub connects networks. A fault of a pair goes before one of (from, Any),
-// that before one of (Any, to), that before one of (Any, Any).
+// Hub connects networks. The fault of a link is the first one set of (from, to),
+// (from, Any), (Any, to) and (Any, Any).
 type Hub struct {
-	mu       sync.Mutex
-	random   *rand.Rand
-	networks map[string]*Network // by VM
-	listen   map[string]string   // VM by address
-	faults   map[pair]Fault
-	queues   map[pair]*queue
-	paused   map[string]bool
-	stats    Stats
+	mu          sync.Mutex
+	rng         *rand.Rand
+	networks    map[string]*Network // by VM
+	vmByAddress map[string]string   // VM names by address
+	faults      map[direction]Fault
+	queues      map[direction]*queue
+	paused      map[string]bool
+	stats       Stats
 }
 
-// Stats counts messages of the whole hub, answers included.
+// Stats counts the messages of a hub, including responses.
 type Stats struct {
-	Messages int // given to the hub
+	Messages int // messages sent, including lost ones
 	Lost     int
-	Bytes    int // payloads given to the hub
+	Bytes    int // total size of the payloads sent
 }
 
-// NewHub returns an empty hub whose chances follow the seed.
+// NewHub returns an empty hub. seed initializes the random number generator that
+// decides about faults.
 func NewHub(seed uint64) *Hub {
 	return &Hub{
-		random:   rand.New(rand.NewPCG(seed, seed)),
-		networks: make(map[string]*Network),
-		listen:   make(map[string]string),
-		faults:   make(map[pair]Fault),
-		queues:   make(map[pair]*queue),
-		paused:   make(map[string]bool),
+		rng:         rand.New(rand.NewPCG(seed, seed)),
+		networks:    make(map[string]*Network),
+		vmByAddress: make(map[string]string),
+		faults:      make(map[direction]Fault),
+		queues:      make(map[direction]*queue),
+		paused:      make(map[string]bool),
 	}
 }
 
-// Address returns the address at which a VM of the hub listens.
+// Address returns the listen address of a VM.
 func Address(vm string) string { return vm + ":7000" }
 
-// Network adds a VM and returns its network; one that was there under that
-// name is replaced, as by a restart.
+// Network adds a VM and returns its network. It replaces an existing network of
+// that name, as a restart does.
 func (h *Hub) Network(vm string) *Network {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := &Network{hub: h, vm: vm, handlers: make(map[peer.Kind]peer.Handler), addresses: make(map[string]string)}
 	h.networks[vm] = n
-	h.listen[Address(vm)] = vm
+	h.vmByAddress[Address(vm)] = vm
 	return n
 }
 
-// Remove takes a VM away: messages to it are lost.
+// Remove removes a VM. Messages to it are lost.
 func (h *Hub) Remove(vm string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.networks, vm)
-	delete(h.listen, Address(vm))
+	delete(h.vmByAddress, Address(vm))
 }
 
-// SetFault sets the fault of the one-way link; either end may be Any.
+// SetFault sets the fault of the link from one VM to another. Either may be Any.
 func (h *Hub) SetFault(from, to string, f Fault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.faults[pair{from, to}] = f
+	h.faults[direction{from, to}] = f
 }
 
-// Cut cuts both ways between two VMs.
+// Cut partitions two VMs from each other, in both directions.
 func (h *Hub) Cut(a, b string) {
 	h.SetFault(a, b, Fault{Cut: true})
 	h.SetFault(b, a, Fault{Cut: true})
@@ -100,10 +102,10 @@
 	clear(h.faults)
 }
 
-// Pause holds what arrives at a VM until Resume.
+// Pause delays the delivery of messages to a VM until Resume.
 func (h *Hub) Pause(vm string) { h.setPaused(vm, true) }
 
-// Resume delivers what arrived during a pause.
+// Resume delivers the messages that arrived during a pause.
 func (h *Hub) Resume(vm string) { h.setPaused(vm, false) }
 
 func (h *Hub) setPaused(vm string, paused bool) {
@@ -119,34 +121,35 @@
 	return h.stats
 }
 
-func (h *Hub) fault(from, to string) Fault {
-	for _, p := range []pair{{from, to}, {from, Any}, {Any, to}, {Any, Any}} {
-		if f, ok := h.faults[p]; ok {
+func (h *Hub) faultFor(from, to string) Fault {
+	for _, d := range []direction{{from, to}, {from, Any}, {Any, to}, {Any, Any}} {
+		if f, ok := h.faults[d]; ok {
 			return f
 		}
 	}
 	return Fault{}
 }
 
-// post puts a delivery on the way from one VM to another. It may be lost.
-func (h *Hub) post(from, to string, size int, deliver func(*Network)) {
+// send schedules a delivery from one VM to another, subject to the fault of the
+// link.
+func (h *Hub) send(from, to string, size int, deliver func(*Network)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stats.Messages++
 	h.stats.Bytes += size
-	f := h.fault(from, to)
-	if f.Cut || h.random.Float64() < f.Drop {
+	f := h.faultFor(from, to)
+	if f.Cut || h.rng.Float64() < f.Drop {
 		h.stats.Lost++
 		return
 	}
 	due := time.Now().Add(f.Delay)
 	if f.Jitter > 0 {
-		due = due.Add(time.Duration(h.random.Int64N(int64(f.Jitter))))
+		due = due.Add(time.Duration(h.rng.Int64N(int64(f.Jitter))))
 	}
-	p := pair{from, to}
-	h.enqueue(p, delivery{due, deliver})
-	if h.random.Float64() < f.Duplicate {
-		h.enqueue(p, delivery{due, deliver})
+	dir := direction{from, to}
+	h.enqueue(dir, delivery{due, deliver})
+	if h.rng.Float64() < f.Duplicate {
+		h.enqueue(dir, delivery{due, deliver})
 	}
 }
 
@@ -155,35 +158,36 @@
 	deliver func(*Network)
 }
 
-// queue is what is on the way over one link; a goroutine runs while it is not
-// empty.
+// queue holds the undelivered messages of a link. While it is not empty, a
+// goroutine delivers them.
 type queue struct {
 	items []delivery
 }
 
-func (h *Hub) enqueue(p pair, d delivery) {
-	q := h.queues[p]
+func (h *Hub) enqueue(dir direction, d delivery) {
+	q := h.queues[dir]
 	if q == nil {
 		q = &queue{}
-		h.queues[p] = q
+		h.queues[dir] = q
 	}
 	q.items = append(q.items, d)
 	if len(q.items) == 1 {
-		go h.run(p, q)
+		go h.deliverQueued(dir, q)
 	}
 }
 
-// pausePoll is how often a link to a paused VM looks whether it is resumed.
-const pausePoll = time.Millisecond
+// pausePollInterval is how often a link to a paused VM checks whether the VM is
+// resumed.
+const pausePollInterval = time.Millisecond
 
-// run delivers the items of a queue in order until it is empty.
-func (h *Hub) run(p pair, q *queue) {
+// deliverQueued delivers the items of a queue in order until it is empty.
+func (h *Hub) deliverQueued(dir direction, q *queue) {
 	h.mu.Lock()
 	for len(q.items) > 0 {
 		d := q.items[0]
 		wait := time.Until(d.due)
-		if h.paused[p.to] {
-			wait = pausePoll
+		if h.paused[dir.to] {
+			wait = pausePollInterval
 		}
 		if wait > 0 {
 			h.mu.Unlock()
@@ -191,7 +195,7 @@
 			h.mu.Lock()
 			continue
 		}
-		n := h.networks[p.to]
+		n := h.networks[dir.to]
 		h.mu.Unlock()
 		if n != nil {
 			d.deliver(n)
@@ -202,18 +206,19 @@
 	h.mu.Unlock()
 }
 
-// resolve finds the VM that a network means by a name.
+// resolve returns the VM that listens at the address. If address is empty, it
+// returns name.
 func (h *Hub) resolve(address, name string) (vm string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if address == "" {
 		return name
 	}
-	return h.listen[address]
+	return h.vmByAddress[address]
 }
 
-// Network is one VM's end of the hub. Names without a set address reach the VM
-// of that name.
+// Network is the network of one VM. A name without a set address is taken as the
+// name of a VM of the hub.
 type Network struct {
 	hub *Hub
 	vm  string
@@ -232,7 +237,7 @@
 	n.handlers[kind] = h
 }
 
-// SetAddress tells where a VM listens.
+// SetAddress sets the address at which a VM listens, or removes it if empty.
 func (n *Network) SetAddress(vm, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -256,13 +261,13 @@
 	return n.handlers[kind]
 }
 
-// Send puts a one-way message on the way.
+// Send sends a one-way message.
 func (n *Network) Send(to string, kind peer.Kind, msg any) error {
 	payload, err := peer.Encode(msg)
 	if err != nil {
 		return &peer.Error{Peer: to, Step: peer.StepEncode, Err: err}
 	}
-	n.hub.post(n.vm, n.route(to), len(payload), func(r *Network) {
+	n.hub.send(n.vm, n.route(to), len(payload), func(r *Network) {
 		if h := r.handler(kind); h != nil {
 			_, _ = h(context.Background(), n.vm, payload)
 		}
@@ -270,33 +275,33 @@
 	return nil
 }
 
-// result is what came back for a call.
+// result is the outcome of a call.
 type result struct {
 	payload []byte
 	err     error
 }
 
-// Call sends a message and waits for the first answer.
-func (n *Network) Call(ctx context.Context, to string, kind peer.Kind, msg, answer any) error {
+// Call sends a message and waits for the first response.
+func (n *Network) Call(ctx context.Context, to string, kind peer.Kind, msg, resp any) error {
 	payload, err := peer.Encode(msg)
 	if err != nil {
 		return &peer.Error{Peer: to, Step: peer.StepEncode, Err: err}
 	}
 	vm := n.route(to)
 	done := make(chan result, 1)
-	n.hub.post(n.vm, vm, len(payload), func(r *Network) {
-		go n.hub.answer(ctx, r, n.vm, kind, payload, done)
+	n.hub.send(n.vm, vm, len(payload), func(r *Network) {
+		go n.hub.handleCall(ctx, r, n.vm, kind, payload, done)
 	})
 	select {
 	case <-ctx.Done():
 		return &peer.Error{Peer: to, Step: peer.StepAnswer, Err: ctx.Err()}
 	case res := <-done:
-		return res.decode(to, answer)
+		return res.decode(to, resp)
 	}
 }
 
-// answer runs the handler of a call and posts its result back.
-func (h *Hub) answer(ctx context.Context, r *Network, from string, kind peer.Kind, payload []byte, done chan<- result) {
+// handleCall runs the handler of a call and sends its result back.
+func (h *Hub) handleCall(ctx context.Context, r *Network, from string, kind peer.Kind, payload []byte, done chan<- result) {
 	var res result
 	handler := r.handler(kind)
 	if handler == nil {
@@ -305,7 +310,7 @@
 		v, err := handler(context.WithoutCancel(ctx), from, payload)
 		res = encodeResult(v, err)
 	}
-	h.post(r.vm, from, len(res.payload), func(*Network) {
+	h.send(r.vm, from, len(res.payload), func(*Network) {
 		select {
 		case done <- res:
 		default:
@@ -321,14 +326,14 @@
 	return result{payload, err}
 }
 
-func (r result) decode(to string, answer any) error {
+func (r result) decode(to string, resp any) error {
 	if r.err != nil {
 		return &peer.Error{Peer: to, Step: peer.StepRemote, Err: r.err}
 	}
-	if answer == nil {
+	if resp == nil {
 		return nil
 	}
-	if err := peer.Decode(r.payload, answer); err != nil {
+	if err := peer.Decode(r.payload, resp); err != nil {
 		return &peer.Error{Peer: to, Step: peer.StepDecode, Err: err}
 	}
 	return nil
