--- a/internal/edge/dialect.go
+++ b/internal/edge/dialect.go
@@ -5,51 +5,52 @@
 	"strings"
 )
 
-// Dialect is the HTTP interface of a deployment's callers and targets: names of
-// headers and forms of answers. Names are canonical; an empty one is not in use.
+// Dialect describes the HTTP interface that the callers and targets of a deployment
+// use: header names and properties of responses. Header names are in canonical
+// form; an empty name means that the header is not used.
 type Dialect struct {
-	RequestID       string // of requests and answers
-	CallerTimeoutMS string // from the caller: milliseconds it will wait
-	ObjectKey       string // from the caller: the object a request is about
-	IdempotencyKey  string // from the caller
-	NoRetry         string // from the caller: "1" makes the request unrepeatable
-	CustomerKey     string // from the caller: a key of a customer; removed
-	// Credentials are the headers by which a caller is known.
+	RequestID       string // request and response
+	CallerTimeoutMS string // request: milliseconds that the caller will wait
+	ObjectKey       string // request: the object that it concerns
+	IdempotencyKey  string // request
+	NoRetry         string // request: "1" means that it must not be retried
+	CustomerKey     string // request: API key of a customer; not forwarded
+	// Credentials are the headers that identify the caller.
 	Credentials []string
 
-	TargetRequestID  string // of requests and answers
-	TargetDeadlineMS string // to the target: milliseconds left
-	TargetExpect     string // to the target: the instance the request is meant for
-	TargetCustomer   string // to the target: name of the customer
-	TargetNotRun     string // from the target, any value: surely not run
-	TargetLoad       string // from the target, read by ParseLoad
-	TargetDraining   string // from the target, "1": it is leaving
+	TargetRequestID  string // request and response
+	TargetDeadlineMS string // request: milliseconds until the deadline
+	TargetExpect     string // request: the target instance for which it is intended
+	TargetCustomer   string // request: name of the customer
+	TargetNotRun     string // response, any value: the request was not executed
+	TargetLoad       string // response, parsed by ParseLoad
+	TargetDraining   string // response: "1" if the target is draining
 
-	// ParseLoad reads the value of TargetLoad; ok is false when it is absent
-	// or malformed.
+	// ParseLoad parses the value of TargetLoad. ok is false if it is absent or
+	// malformed.
 	ParseLoad func(value string) (load Load, ok bool)
-	// Internal reports whether only the system may set or read a header, so that it
-	// is removed from what callers and targets send.
+	// Internal reports whether a header is reserved for the system and must be
+	// removed from requests of callers and responses of targets.
 	Internal func(name string) bool
 
-	InventRequestID    bool // a request without an id gets one
-	ExplainAnswers     bool // answers carry the system's own headers
-	FractionalSeconds  bool // Retry-After may have a fraction
-	UndelimitedAnswers bool // an answer may end with its connection
+	InventRequestID    bool // generate an ID for requests without one
+	ExplainAnswers     bool // add the headers of the system to responses
+	FractionalSeconds  bool // Retry-After may be fractional
+	UndelimitedAnswers bool // responses may be delimited by closing the connection
 }
 
-// Load is a target's load report.
+// Load is the load reported by a target.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// Credentials lists the headers of HTTP by which a caller is known (RFC 9110,
+// Credentials returns the standard HTTP headers that identify a caller (RFC 9110,
 // section 11.6.2; RFC 6265, section 5.4).
 func Credentials() []string { return []string{"Authorization", "Cookie"} }
 
-// Native is the dialect of the system's own interface.
+// Native returns the dialect of the system's own interface.
 func Native() *Dialect {
 	return &Dialect{
 		RequestID:        HeaderRequestID,
@@ -69,7 +70,7 @@
 	}
 }
 
-// parseNativeLoad reads "inflight/slots".
+// parseNativeLoad parses "inflight/slots".
 func parseNativeLoad(value string) (Load, bool) {
 	a, b, ok := strings.Cut(value, "/")
 	if !ok {
--- a/internal/edge/operator.go
+++ b/internal/edge/operator.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// Paths of the operator edge. All but the last three need a bearer token.
+// Paths of the operator interface. All but the last three require a bearer token.
 const (
-	PathOperatorConfig   = "/api/v1/config"          // GET in force; PUT apply with If-Match: generation
-	PathOperatorValidate = "/api/v1/config/validate" // POST a document
-	PathOperatorDiff     = "/api/v1/config/diff"     // POST a document: diff against the one in force
-	PathOperatorHistory  = "/api/v1/config/history"  // GET
+	PathOperatorConfig   = "/api/v1/config"          // GET: document in force; PUT with If-Match: apply a document
+	PathOperatorValidate = "/api/v1/config/validate" // POST: validate a document
+	PathOperatorDiff     = "/api/v1/config/diff"     // POST: compare a document with the one in force
+	PathOperatorHistory  = "/api/v1/config/history"  // GET: accepted generations
 	PathOperatorSchema   = "/api/v1/config/schema"   // GET: JSON Schema of the document
-	PathOperatorInForce  = "/api/v1/config/in-force" // GET ?generation=: counts and stragglers
-	PathOperatorStatus   = "/api/v1/status"          // GET
+	PathOperatorInForce  = "/api/v1/config/in-force" // GET with ?generation=: how many daemons have it in force, and the others
+	PathOperatorStatus   = "/api/v1/status"          // GET: Status
 	PathOperatorDrain    = "/api/v1/drain"           // POST: drain this VM
 	PathConsole          = "/console/"
 	PathMetrics          = "/metrics"
-	PathHealthz          = "/healthz" // the process lives
-	PathReadyz           = "/readyz"  // it may be given callers; says why not
+	PathHealthz          = "/healthz" // liveness of the process
+	PathReadyz           = "/readyz"  // whether callers may use this VM, and if not, why
 )
 
-// HeaderIfMatch names the generation that an apply started from.
+// HeaderIfMatch carries the generation on which an applied document is based.
 const HeaderIfMatch = "If-Match"
 
-// Names of query parameters of the operator edge.
+// Query parameters of the operator interface.
 const (
-	QueryEffective  = "effective"  // "true": with the defaults filled in
-	QueryGeneration = "generation" // a generation of the history
-	QueryAuthor     = "author"     // who applies a document
-	QueryComment    = "comment"    // why
+	QueryEffective  = "effective"  // "true": include default values
+	QueryGeneration = "generation" // generation of a document
+	QueryAuthor     = "author"     // author of an applied document
+	QueryComment    = "comment"    // reason for applying it
 )
 
-// OperatorCode says what an OperatorError is about.
+// OperatorCode classifies an OperatorError.
 type OperatorCode string
 
-// The codes of errors on the operator edge.
+// Error codes of the operator interface.
 const (
 	CodeBadRequest OperatorCode = "bad_request"
-	CodeInvalid    OperatorCode = "invalid"     // the document has faults
-	CodeConflict   OperatorCode = "conflict"    // another document was accepted since the base
-	CodeUnknown    OperatorCode = "unknown"     // the write may have taken effect, or may yet
-	CodeNotStored  OperatorCode = "not_stored"  // the store does not answer; nothing was changed
-	CodeNotFound   OperatorCode = "not_found"   // no such generation
-	CodeNoDocument OperatorCode = "no_document" // none is in force here
+	CodeInvalid    OperatorCode = "invalid"     // the document is invalid
+	CodeConflict   OperatorCode = "conflict"    // a newer document than the base has been accepted
+	CodeUnknown    OperatorCode = "unknown"     // the write may have taken effect or may still do so
+	CodeNotStored  OperatorCode = "not_stored"  // the store did not respond; nothing was changed
+	CodeNotFound   OperatorCode = "not_found"   // the generation does not exist
+	CodeNoDocument OperatorCode = "no_document" // no document is in force at this daemon
 )
 
-// OperatorError is the JSON body of every error answer about the document.
+// OperatorError is the JSON body of error responses about documents.
 type OperatorError struct {
 	Code     OperatorCode    `json:"code"`
 	Message  string          `json:"message"`
@@ -55,7 +55,7 @@
 	WriteID  string          `json:"write_id,omitempty"` // with CodeUnknown
 }
 
-// Error implements error, for clients.
+// Error implements the error interface for clients.
 func (e *OperatorError) Error() string { return string(e.Code) + ": " + e.Message }
 
 // ConfigAnswer is a document with its generation.
@@ -65,7 +65,7 @@
 	Document   json.RawMessage `json:"document"`
 }
 
-// ConfigFault is one fault of a document.
+// ConfigFault describes an invalid or questionable value in a document.
 type ConfigFault struct {
 	Path    string `json:"path"`
 	Value   string `json:"value"`
@@ -73,42 +73,43 @@
 	Line    int    `json:"line,omitempty"`
 }
 
-// ConfigValid is the answer to a valid document.
+// ConfigValid is the response to the validation of a valid document.
 type ConfigValid struct {
-	Warnings []ConfigFault `json:"warnings"` // allowed, but probably not meant
+	Warnings []ConfigFault `json:"warnings"` // valid, but probably unintended
 }
 
-// ConfigChange is one difference between two documents.
+// ConfigChange is a difference between two documents.
 type ConfigChange struct {
 	Kind    string `json:"kind"` // added, removed, modified, moved
 	Subject string `json:"subject"`
 	Field   string `json:"field,omitempty"`
 	Before  string `json:"before,omitempty"`
 	After   string `json:"after,omitempty"`
-	Text    string `json:"text"` // as a line to be read
+	Text    string `json:"text"` // human-readable description in one line
 }
 
-// ConfigDiff is the difference of a document to the one in force.
+// ConfigDiff lists the differences between a document and the one in force.
 type ConfigDiff struct {
-	Generation uint64         `json:"generation"` // compared with
+	Generation uint64         `json:"generation"` // generation of the document in force
 	Changes    []ConfigChange `json:"changes"`
 }
 
-// ConfigConflict tells a losing operator what was accepted meanwhile.
+// ConfigConflict describes a conflict between a rejected document and the one that
+// was accepted in the meantime.
 type ConfigConflict struct {
 	Base    uint64         `json:"base"`
 	Current ConfigRecord   `json:"current"`
-	Theirs  []ConfigChange `json:"theirs"` // from the base to the current document
-	Yours   []ConfigChange `json:"yours"`  // from the base to the document refused
+	Theirs  []ConfigChange `json:"theirs"` // changes from the base to the current document
+	Yours   []ConfigChange `json:"yours"`  // changes from the base to the rejected document
 }
 
-// ConfigApplied is the answer to an accepted document.
+// ConfigApplied is the response to an accepted document.
 type ConfigApplied struct {
 	Record    ConfigRecord `json:"record"`
-	Unchanged bool         `json:"unchanged"` // it was in force already
+	Unchanged bool         `json:"unchanged"` // the document was already in force
 }
 
-// ConfigRecord is one accepted generation.
+// ConfigRecord describes an accepted generation.
 type ConfigRecord struct {
 	Generation uint64    `json:"generation"`
 	WriteID    string    `json:"write_id"`
@@ -117,7 +118,7 @@
 	Comment    string    `json:"comment"`
 	AcceptedAt time.Time `json:"accepted_at"`
 	Bytes      int       `json:"bytes"`
-	Kept       bool      `json:"kept"` // its document can still be read
+	Kept       bool      `json:"kept"` // the document is still stored
 }
 
 // ConfigHistory is the list of accepted generations, newest first.
@@ -125,8 +126,8 @@
 	Records []ConfigRecord `json:"records"`
 }
 
-// ConfigInForce tells how many daemons have a generation or a higher one in
-// force, as heartbeats tell.
+// ConfigInForce reports how many daemons have a generation or a higher one in
+// force, according to their heartbeats.
 type ConfigInForce struct {
 	Generation uint64         `json:"generation"`
 	Daemons    int            `json:"daemons"`
@@ -134,7 +135,7 @@
 	Stragglers []ConfigDaemon `json:"stragglers"`
 }
 
-// ConfigDaemon is one daemon with what it has in force.
+// ConfigDaemon is a daemon with the generation that it has in force.
 type ConfigDaemon struct {
 	Name       string `json:"name"`
 	Zone       string `json:"zone"`
--- a/internal/edge/platform.go
+++ b/internal/edge/platform.go
@@ -1,7 +1,7 @@
 package edge
 
-// VMRecord is the value of an object of the platform's list of VMs. The list
-// lags behind reality.
+// VMRecord is the value of an object in the platform's list of VMs. The list may be
+// out of date.
 type VMRecord struct {
 	Name          string `json:"name"`
 	Zone          string `json:"zone"`
@@ -10,7 +10,7 @@
 	Leaving       bool   `json:"leaving"`
 }
 
-// TargetRecord is the value of an object of the platform's list of targets.
+// TargetRecord is the value of an object in the platform's list of targets.
 type TargetRecord struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
