--- a/internal/command/lookup.go
+++ b/internal/command/lookup.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func askLookup(ctx context.Context, vm, address string) (*edge.LookupAnswer, error) {
+func askLookup(ctx context.Context, vm, address string) (*edge.LookupResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	client := sling.New().Base(vm).Get(edge.PathLookup).QueryStruct(lookupQuery{Address: address})
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, usageError(trace.Wrap(err, "--%s", flagVM))
 	}
-	answer := &edge.LookupAnswer{}
+	answer := &edge.LookupResponse{}
 	resp, err := client.Do(req.WithContext(ctx), answer, nil)
 	if err != nil {
 		return nil, trace.Wrap(err, "look-up at %s", vm)
@@ -66,7 +66,7 @@
 	return answer, nil
 }
 
-func printLookup(w io.Writer, answer *edge.LookupAnswer) error {
+func printLookup(w io.Writer, answer *edge.LookupResponse) error {
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tab, "VM\tZONE\tADDRESS\n")
 	for _, vm := range answer.VMs {
--- a/internal/edge/caller.go
+++ b/internal/edge/caller.go
@@ -45,8 +45,8 @@
 	RequestID    string `json:"request_id"`
 }
 
-// LookupAnswer is the JSON body of the response to a lookup.
-type LookupAnswer struct {
+// LookupResponse is the JSON body of the response to a lookup.
+type LookupResponse struct {
 	VMs           []LookupVM `json:"vms"`             // best first
 	MaxAgeSeconds float64    `json:"max_age_seconds"` // how long the response may be cached
 	Generation    uint64     `json:"generation"`      // generation of the document on which the response is based
--- a/internal/edge/dialect.go
+++ b/internal/edge/dialect.go
@@ -18,13 +18,13 @@
 	// Credentials are the headers that identify the caller.
 	Credentials []string
 
-	TargetRequestID  string // request and response
-	TargetDeadlineMS string // request: milliseconds until the deadline
-	TargetExpect     string // request: the target instance for which it is intended
-	TargetCustomer   string // request: name of the customer
-	TargetNotRun     string // response, any value: the request was not executed
-	TargetLoad       string // response, parsed by ParseLoad
-	TargetDraining   string // response: "1" if the target is draining
+	TargetRequestID        string // request and response
+	TargetDeadlineMS       string // request: milliseconds until the deadline
+	TargetExpectedInstance string // request: the target instance for which it is intended
+	TargetCustomer         string // request: name of the customer
+	TargetNotRun           string // response, any value: the request was not executed
+	TargetLoad             string // response, parsed by ParseLoad
+	TargetDraining         string // response: "1" if the target is draining
 
 	// ParseLoad parses the value of TargetLoad. ok is false if it is absent or
 	// malformed.
@@ -33,10 +33,10 @@
 	// removed from requests of callers and responses of targets.
 	Internal func(name string) bool
 
-	InventRequestID    bool // generate an ID for requests without one
-	ExplainAnswers     bool // add the headers of the system to responses
-	FractionalSeconds  bool // Retry-After may be fractional
-	UndelimitedAnswers bool // responses may be delimited by closing the connection
+	GenerateRequestID       bool // generate an ID for requests without one
+	AddOutcomeHeaders       bool // add the headers of the system to responses
+	FractionalRetryAfter    bool // Retry-After may be fractional
+	CloseDelimitedResponses bool // responses may be delimited by closing the connection
 }
 
 // Load is the load reported by a target.
@@ -53,20 +53,20 @@
 // Native returns the dialect of the system's own interface.
 func Native() *Dialect {
 	return &Dialect{
-		RequestID:        HeaderRequestID,
-		CallerTimeoutMS:  HeaderTimeoutMS,
-		IdempotencyKey:   HeaderIdempotencyKey,
-		NoRetry:          HeaderNoRetry,
-		Credentials:      Credentials(),
-		TargetRequestID:  HeaderTargetRequestID,
-		TargetDeadlineMS: HeaderTargetDeadlineMS,
-		TargetNotRun:     HeaderTargetNotRun,
-		TargetLoad:       HeaderTargetLoad,
-		TargetDraining:   HeaderTargetDraining,
-		ParseLoad:        parseNativeLoad,
-		Internal:         func(name string) bool { return strings.HasPrefix(name, InternalHeaderPrefix) },
-		InventRequestID:  true,
-		ExplainAnswers:   true,
+		RequestID:         HeaderRequestID,
+		CallerTimeoutMS:   HeaderTimeoutMS,
+		IdempotencyKey:    HeaderIdempotencyKey,
+		NoRetry:           HeaderNoRetry,
+		Credentials:       Credentials(),
+		TargetRequestID:   HeaderTargetRequestID,
+		TargetDeadlineMS:  HeaderTargetDeadlineMS,
+		TargetNotRun:      HeaderTargetNotRun,
+		TargetLoad:        HeaderTargetLoad,
+		TargetDraining:    HeaderTargetDraining,
+		ParseLoad:         parseNativeLoad,
+		Internal:          func(name string) bool { return strings.HasPrefix(name, InternalHeaderPrefix) },
+		GenerateRequestID: true,
+		AddOutcomeHeaders: true,
 	}
 }
 
--- a/internal/edge/operator.go
+++ b/internal/edge/operator.go
@@ -58,8 +58,8 @@
 // Error implements the error interface for clients.
 func (e *OperatorError) Error() string { return string(e.Code) + ": " + e.Message }
 
-// ConfigAnswer is a document with its generation.
-type ConfigAnswer struct {
+// ConfigResponse is a document with its generation.
+type ConfigResponse struct {
 	Generation uint64          `json:"generation"`
 	Hash       string          `json:"hash"` // hexadecimal
 	Document   json.RawMessage `json:"document"`
--- a/internal/edge/status.go
+++ b/internal/edge/status.go
@@ -65,8 +65,8 @@
 	Unmeasured     int    `json:"unmeasured_targets"`
 }
 
-// DrainAnswer is the response to a drain request.
-type DrainAnswer struct {
+// DrainResponse is the response to a drain request.
+type DrainResponse struct {
 	VM       string `json:"vm"`
 	Draining bool   `json:"draining"`
 }
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -27,11 +27,11 @@
 	if id != "" {
 		setHeader(h, d.RequestID, id)
 	}
-	if d.ExplainAnswers {
+	if d.AddOutcomeHeaders {
 		setOutcomeHeaders(h, e)
 	}
 	if e.RetryAfter > 0 {
-		setHeader(h, "Retry-After", formatRetryAfter(e.RetryAfter, d.FractionalSeconds))
+		setHeader(h, "Retry-After", formatRetryAfter(e.RetryAfter, d.FractionalRetryAfter))
 	}
 	if errorStatus(e) == http.StatusUnauthorized {
 		setHeader(h, "Www-Authenticate", d.CustomerKey) // RFC 9110, section 11.6.1
--- a/internal/forward/dialect_test.go
+++ b/internal/forward/dialect_test.go
@@ -18,18 +18,18 @@
 // foreignDialect returns a dialect that differs from edge.Native.
 func foreignDialect() *edge.Dialect {
 	return &edge.Dialect{
-		RequestID:          "Their-Id",
-		CallerTimeoutMS:    "Their-Deadline-Ms",
-		ObjectKey:          "Their-Object",
-		TargetRequestID:    "Their-Id",
-		TargetDeadlineMS:   "Their-Deadline-Ms",
-		TargetExpect:       "Their-Expected",
-		TargetNotRun:       "Their-Not-Run",
-		TargetLoad:         "Their-Load",
-		ParseLoad:          func(string) (edge.Load, bool) { return edge.Load{}, false },
-		Internal:           func(name string) bool { return name == "Their-Expected" },
-		FractionalSeconds:  true,
-		UndelimitedAnswers: true,
+		RequestID:               "Their-Id",
+		CallerTimeoutMS:         "Their-Deadline-Ms",
+		ObjectKey:               "Their-Object",
+		TargetRequestID:         "Their-Id",
+		TargetDeadlineMS:        "Their-Deadline-Ms",
+		TargetExpectedInstance:  "Their-Expected",
+		TargetNotRun:            "Their-Not-Run",
+		TargetLoad:              "Their-Load",
+		ParseLoad:               func(string) (edge.Load, bool) { return edge.Load{}, false },
+		Internal:                func(name string) bool { return name == "Their-Expected" },
+		FractionalRetryAfter:    true,
+		CloseDelimitedResponses: true,
 	}
 }
 
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -104,7 +104,7 @@
 	x.rc = http.NewResponseController(x.w)
 	d := x.h.deps.Dialect
 	x.id = headerValue(x.r.Header, d.RequestID)
-	if d.InventRequestID && !validRequestID(x.id) {
+	if d.GenerateRequestID && !validRequestID(x.id) {
 		x.id = newRequestID()
 	}
 	if !x.r.ProtoAtLeast(1, 1) {
--- a/internal/forward/outgoing.go
+++ b/internal/forward/outgoing.go
@@ -49,7 +49,7 @@
 	}
 	setHeader(header, d.TargetDeadlineMS, strconv.FormatInt(max(left, 1), 10))
 	if a.target.Instance != "" {
-		setHeader(header, d.TargetExpect, a.target.Instance)
+		setHeader(header, d.TargetExpectedInstance, a.target.Instance)
 	}
 	if x.customer != nil {
 		setHeader(header, d.TargetCustomer, x.customer.Name)
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -161,7 +161,7 @@
 	if x.id != "" {
 		setHeader(to, x.h.deps.Dialect.RequestID, x.id)
 	}
-	if x.h.deps.Dialect.ExplainAnswers {
+	if x.h.deps.Dialect.AddOutcomeHeaders {
 		setHeader(to, edge.HeaderOutcome, outcome.Answered.String())
 		setHeader(to, edge.HeaderServedRegion, a.target.Region)
 	}
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -38,7 +38,7 @@
 		result.Err = errors.New("the target switched protocols unasked")
 		return result
 	}
-	if a.undelimited() && !a.x.h.deps.Dialect.UndelimitedAnswers {
+	if a.undelimited() && !a.x.h.deps.Dialect.CloseDelimitedResponses {
 		result.Fault = FaultTruncated
 		result.Err = errors.New("the answer has neither a length nor chunks, so that its end can't be told from a cut")
 		return result
--- a/internal/lookup/lookup_test.go
+++ b/internal/lookup/lookup_test.go
@@ -213,13 +213,13 @@
 	}
 }
 
-func lookUp(t *testing.T, s *Service) edge.LookupAnswer {
+func lookUp(t *testing.T, s *Service) edge.LookupResponse {
 	t.Helper()
 	r := httptest.NewRequest(http.MethodGet, edge.PathLookup, nil)
 	r.RemoteAddr = "127.101.1.1:1234"
 	rec := httptest.NewRecorder()
 	s.ServeHTTP(rec, r)
-	var answer edge.LookupAnswer
+	var answer edge.LookupResponse
 	if err := json.Unmarshal(rec.Body.Bytes(), &answer); err != nil {
 		t.Fatalf("%v in %q", err, rec.Body.String())
 	}
--- a/internal/lookup/service.go
+++ b/internal/lookup/service.go
@@ -229,7 +229,7 @@
 	if len(members) == 0 {
 		return nil, trace.NotFound("no VM is known to be able to serve")
 	}
-	answer := edge.LookupAnswer{
+	answer := edge.LookupResponse{
 		MaxAgeSeconds: lookup.MaxAgeMS.Duration().Seconds(),
 		Generation:    uint64(cache.snap.Generation),
 	}
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -45,8 +45,8 @@
 
 // Get returns the document in force or, with a generation that is not 0, one
 // of the history; with its defaults when effective is set.
-func (c *Client) Get(ctx context.Context, generation uint64, effective bool) (*edge.ConfigAnswer, error) {
-	answer := &edge.ConfigAnswer{}
+func (c *Client) Get(ctx context.Context, generation uint64, effective bool) (*edge.ConfigResponse, error) {
+	answer := &edge.ConfigResponse{}
 	req := c.base.New().Get(edge.PathOperatorConfig).QueryStruct(getQuery{effective, generation})
 	return answer, c.do(ctx, req, answer)
 }
--- a/internal/operator/client/status.go
+++ b/internal/operator/client/status.go
@@ -13,7 +13,7 @@
 }
 
 // Drain asks the daemon to leave the fleet gracefully and returns at once.
-func (c *Client) Drain(ctx context.Context) (*edge.DrainAnswer, error) {
-	answer := &edge.DrainAnswer{}
+func (c *Client) Drain(ctx context.Context) (*edge.DrainResponse, error) {
+	answer := &edge.DrainResponse{}
 	return answer, c.do(ctx, c.base.New().Post(edge.PathOperatorDrain), answer)
 }
--- a/internal/operator/configapi/api.go
+++ b/internal/operator/configapi/api.go
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(uint64(gen), 10)))
-	return &edge.ConfigAnswer{Generation: uint64(gen), Hash: hexHash(packed.Hash), Document: raw}, nil
+	return &edge.ConfigResponse{Generation: uint64(gen), Hash: hexHash(packed.Hash), Document: raw}, nil
 }
 
 func (a *API) read(r *http.Request) (config.Generation, *repository.Packed, error) {
--- a/internal/operator/statusapi/status.go
+++ b/internal/operator/statusapi/status.go
@@ -59,7 +59,7 @@
 
 func (a *API) serveDrain(w http.ResponseWriter, _ *http.Request) {
 	a.deps.Drain()
-	writeJSON(w, http.StatusAccepted, edge.DrainAnswer{VM: a.deps.VM.Name, Draining: true})
+	writeJSON(w, http.StatusAccepted, edge.DrainResponse{VM: a.deps.VM.Name, Draining: true})
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/internal/standin/caller/caller_test.go
+++ b/internal/standin/caller/caller_test.go
@@ -34,7 +34,7 @@
 	defer v.mu.Unlock()
 	if r.URL.Path == edge.PathLookup {
 		v.lookups++
-		answer := edge.LookupAnswer{MaxAgeSeconds: v.maxAge}
+		answer := edge.LookupResponse{MaxAgeSeconds: v.maxAge}
 		for i, address := range v.addresses {
 			vm := edge.LookupVM{Name: fmt.Sprintf("vm-%d", i), Address: address, Ticket: fmt.Sprintf("ticket-%d", i)}
 			answer.VMs = append(answer.VMs, vm)
--- a/internal/standin/caller/lookup.go
+++ b/internal/standin/caller/lookup.go
@@ -30,7 +30,7 @@
 // while the others wait.
 type cachedAnswer struct {
 	mu      sync.Mutex
-	answer  edge.LookupAnswer
+	answer  edge.LookupResponse
 	expires time.Time
 }
 
@@ -65,7 +65,7 @@
 
 // ask asks the VMs of the last answer, then the configured ones, until one
 // answers. The age of the answer counts from when it was asked for.
-func (a *answers) ask(ctx context.Context, service string, last []edge.LookupVM) (edge.LookupAnswer, time.Time, error) {
+func (a *answers) ask(ctx context.Context, service string, last []edge.LookupVM) (edge.LookupResponse, time.Time, error) {
 	var addresses []string
 	for _, vm := range last {
 		addresses = append(addresses, vm.Address)
@@ -79,10 +79,10 @@
 		}
 		err = errors.Join(err, askErr)
 	}
-	return edge.LookupAnswer{}, time.Time{}, err
+	return edge.LookupResponse{}, time.Time{}, err
 }
 
-func (a *answers) askOne(ctx context.Context, address, service string) (answer edge.LookupAnswer, err error) {
+func (a *answers) askOne(ctx context.Context, address, service string) (answer edge.LookupResponse, err error) {
 	ctx, cancel := context.WithTimeout(ctx, a.timeout)
 	defer cancel()
 	conn, err := a.pool.get(ctx, address)
--- a/internal/standin/promise/promise_test.go
+++ b/internal/standin/promise/promise_test.go
@@ -33,7 +33,7 @@
 		if f.broken == promise.RefusedByDrain {
 			vm.Address = "127.0.0.1:1" // nobody listens there any more
 		}
-		json.NewEncoder(w).Encode(edge.LookupAnswer{VMs: []edge.LookupVM{vm}, MaxAgeSeconds: 60})
+		json.NewEncoder(w).Encode(edge.LookupResponse{VMs: []edge.LookupVM{vm}, MaxAgeSeconds: 60})
 		return
 	}
 	body, err := io.ReadAll(r.Body)
