--- a/internal/admission/faults_lying_test.go
+++ b/internal/admission/faults_lying_test.go
@@ -55,7 +55,7 @@
 			time.Sleep(2 * second)
 			for _, vm := range c.names("east") {
 				if vm != broker {
-					c.hub.Cut(vm, broker)
+					c.hub.Partition(vm, broker)
 					break
 				}
 			}
--- a/internal/admission/faults_silent_test.go
+++ b/internal/admission/faults_silent_test.go
@@ -31,7 +31,7 @@
 			next := brokerOf(c.members, where)
 			for _, vm := range c.names("east") {
 				if vm != next && !c.vms[vm].dead.Load() {
-					c.hub.Cut(vm, next)
+					c.hub.Partition(vm, next)
 				}
 			}
 		}()
@@ -64,7 +64,7 @@
 			queued, _ = c.poolOf(broker)
 			for _, vm := range c.names("east") {
 				if vm != broker {
-					c.hub.Cut(vm, broker)
+					c.hub.Partition(vm, broker)
 					break
 				}
 			}
--- a/internal/admission/faults_test.go
+++ b/internal/admission/faults_test.go
@@ -108,7 +108,7 @@
 			time.Sleep(4 * second)
 			for _, a := range c.names("east") {
 				for _, b := range c.names("west") {
-					c.hub.Cut(a, b)
+					c.hub.Partition(a, b)
 				}
 			}
 		}()
--- a/internal/confsync/matrix_test.go
+++ b/internal/confsync/matrix_test.go
@@ -157,9 +157,9 @@
 	case "pause":
 		f.pause(d)
 	case "lost request":
-		brief(name, peertest.Any, peertest.Fault{Cut: true})
+		brief(name, peertest.Any, peertest.Fault{Partition: true})
 	case "lost answer":
-		brief(peertest.Any, name, peertest.Fault{Cut: true})
+		brief(peertest.Any, name, peertest.Fault{Partition: true})
 	case "delay":
 		brief(peertest.Any, name, peertest.Fault{Delay: faultLasts})
 	case "duplicate":
@@ -169,7 +169,7 @@
 	case "store outage":
 		f.store.SetOutage(true)
 	case "silent connection":
-		f.hub.Cut(name, f.daemons[2].member.Name)
+		f.hub.Partition(name, f.daemons[2].member.Name)
 	}
 }
 
--- a/internal/confsync/spread_test.go
+++ b/internal/confsync/spread_test.go
@@ -54,8 +54,8 @@
 		}},
 		{"pushes to one are lost, it can ask nobody", func(f *fleet) config.Generation {
 			f.deafen()
-			f.hub.SetFault("vm-05", all, peertest.Fault{Cut: true})
-			f.hub.SetFault(all, "vm-05", peertest.Fault{Cut: true})
+			f.hub.SetFault("vm-05", all, peertest.Fault{Partition: true})
+			f.hub.SetFault(all, "vm-05", peertest.Fault{Partition: true})
 			time.AfterFunc(time.Second, func() { f.hub.SetFault(all, "vm-05", peertest.Fault{}) })
 			return f.apply(f.daemons[0])
 		}},
@@ -172,8 +172,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := settled(t)
 		f.store.SetOutage(true)
-		f.hub.SetFault("vm-01", peertest.Any, peertest.Fault{Cut: true})
-		f.hub.SetFault(peertest.Any, "vm-01", peertest.Fault{Cut: true})
+		f.hub.SetFault("vm-01", peertest.Any, peertest.Fault{Partition: true})
+		f.hub.SetFault(peertest.Any, "vm-01", peertest.Fault{Partition: true})
 		time.Sleep(5 * time.Second)
 		f.store.SetOutage(false)
 		gen := f.apply(f.daemons[0])
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -225,7 +225,7 @@
 			return []string{leader}
 		},
 		"VMs can't reach each other": func(f *fleet) []string {
-			f.hub.SetFault(peertest.Any, peertest.Any, peertest.Fault{Cut: true})
+			f.hub.SetFault(peertest.Any, peertest.Any, peertest.Fault{Partition: true})
 			return nil
 		},
 		"messages are delayed and lost": func(f *fleet) []string {
--- a/internal/idempotency/keys_test.go
+++ b/internal/idempotency/keys_test.go
@@ -233,7 +233,7 @@
 		synctest.Wait()
 		f.start("a")
 		f.start("b")
-		f.hub.Cut("a", "c")
+		f.hub.Partition("a", "c")
 		_, err := f.do(f.start("c"), key, "x", outcome.Answered)
 		wantOutcome(t, err, outcome.Unknown)
 		f.hub.Heal()
@@ -368,7 +368,7 @@
 				answer.Store(a.Ticket(b1.VM, b1.Incarnation))
 			}
 		})
-		f.hub.Cut("a", "b")
+		f.hub.Partition("a", "b")
 		if got := a.Ticket(b1.VM, b1.Incarnation); got != "" {
 			t.Errorf("a ticket of a VM that could not be asked: %q", got)
 		}
@@ -400,7 +400,7 @@
 			}
 			return v
 		}
-		f.hub.Cut("a", "b")
+		f.hub.Partition("a", "b")
 		a.Follow(view(a, b, c))
 		time.Sleep(10 * time.Second)
 		f.hub.Heal()
--- a/internal/peer/peertest/hub.go
+++ b/internal/peer/peertest/hub.go
@@ -19,7 +19,7 @@
 	Duplicate float64       // probability that a message arrives twice
 	Delay     time.Duration // delay of each message
 	Jitter    time.Duration // maximum of a uniformly distributed addition to Delay; messages stay in order
-	Cut       bool          // all messages are lost
+	Partition bool          // all messages are lost
 }
 
 // Any matches all VMs in SetFault.
@@ -89,10 +89,10 @@
 	h.faults[direction{from, to}] = f
 }
 
-// Cut partitions two VMs from each other, in both directions.
-func (h *Hub) Cut(a, b string) {
-	h.SetFault(a, b, Fault{Cut: true})
-	h.SetFault(b, a, Fault{Cut: true})
+// Partition partitions two VMs from each other, in both directions.
+func (h *Hub) Partition(a, b string) {
+	h.SetFault(a, b, Fault{Partition: true})
+	h.SetFault(b, a, Fault{Partition: true})
 }
 
 // Heal removes all faults.
@@ -138,7 +138,7 @@
 	h.stats.Messages++
 	h.stats.Bytes += size
 	f := h.faultFor(from, to)
-	if f.Cut || h.rng.Float64() < f.Drop {
+	if f.Partition || h.rng.Float64() < f.Drop {
 		h.stats.Lost++
 		return
 	}
--- a/internal/peer/peertest/hub_test.go
+++ b/internal/peer/peertest/hub_test.go
@@ -86,7 +86,7 @@
 		a, b := hub.Network("a"), hub.Network("b")
 		var got recorder
 		b.Handle(peer.KindPermit, echo(&got))
-		hub.SetFault("b", "a", Fault{Cut: true})
+		hub.SetFault("b", "a", Fault{Partition: true})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		err := a.Call(ctx, "b", peer.KindPermit, &message{Text: "lost response"}, nil)
--- a/internal/placement/usage_test.go
+++ b/internal/placement/usage_test.go
@@ -211,7 +211,7 @@
 		hub, svc, vms := startVMs(t, 2)
 		acquire(t, vms["vm-000"], svc, 5)
 		time.Sleep(4 * ReportInterval)
-		hub.Cut("vm-000", "vm-001")
+		hub.Partition("vm-000", "vm-001")
 		time.Sleep(2 * reportTTLIntervals * ReportInterval) // TTL of its report, and of the total that includes it
 		synctest.Wait()
 		if got := receivedUsage(vms["vm-001"]); got != 0 {
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -170,7 +170,7 @@
 			continue
 		}
 		others[other.name] = on
-		fault := peertest.Fault{Cut: on, Delay: 20 * time.Millisecond}
+		fault := peertest.Fault{Partition: on, Delay: 20 * time.Millisecond}
 		f.hub.SetFault(v.name, other.name, fault)
 		f.hub.SetFault(other.name, v.name, fault)
 	}
--- a/internal/ratelimit/faults_test.go
+++ b/internal/ratelimit/faults_test.go
@@ -53,7 +53,7 @@
 	for _, a := range f.vms {
 		for _, b := range f.vms {
 			if slices.Contains(granterSide, a) != slices.Contains(granterSide, b) {
-				f.hub.SetFault(a.name, b.name, peertest.Fault{Cut: true})
+				f.hub.SetFault(a.name, b.name, peertest.Fault{Partition: true})
 			}
 		}
 	}
@@ -79,7 +79,7 @@
 		}
 		for _, vm := range f.vms {
 			if !slices.Contains(granterSide, vm) {
-				f.hub.SetFault(vm.name, peertest.Any, peertest.Fault{Cut: true})
+				f.hub.SetFault(vm.name, peertest.Any, peertest.Fault{Partition: true})
 			}
 		}
 	})
@@ -174,7 +174,7 @@
 	case 1:
 		vm.storeUnavailable.Store(!vm.storeUnavailable.Load())
 	case 2:
-		f.hub.SetFault(vm.name, peertest.Any, peertest.Fault{Cut: true})
+		f.hub.SetFault(vm.name, peertest.Any, peertest.Fault{Partition: true})
 	case 3:
 		f.hub.SetFault(peertest.Any, vm.name, peertest.Fault{Delay: 300 * time.Millisecond, Jitter: time.Second, Drop: 0.2})
 	case 4, 5:
