--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -171,7 +171,7 @@
 			continue
 		}
 		others[other.name] = isolated
-		fault := peertest.Fault{Cut: isolated, Delay: 20 * time.Millisecond}
+		fault := peertest.Fault{Partition: isolated, Delay: 20 * time.Millisecond}
 		f.hub.SetFault(v.name, other.name, fault)
 		f.hub.SetFault(other.name, v.name, fault)
 	}
