--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -113,7 +113,7 @@
 	for stopped := false; !stopped; {
 		select {
 		case <-hangups:
-			d.Reloaded(reload())
+			d.HandleReload(reload())
 		case <-stops:
 			stopped = true
 		case <-d.DrainRequested():
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -110,10 +110,10 @@
 	return nil
 }
 
-// Reloaded logs which sections of reloaded settings differ from those in force, or
+// HandleReload logs which sections of reloaded settings differ from those in force, or
 // the error of reading them. It applies nothing: all settings are fixed when the
 // process starts, and changes need a restart.
-func (d *Daemon) Reloaded(s *settings.Settings, err error) {
+func (d *Daemon) HandleReload(s *settings.Settings, err error) {
 	if err != nil {
 		d.opts.Logger.Log(eventReloadFailed, telemetry.Err(err))
 		return
--- a/internal/forward/ahead.go
+++ b/internal/forward/ahead.go
@@ -19,12 +19,12 @@
 		return
 	}
 	expected := h.deps.Expected()
-	for _, t := range expected[:min(len(expected), targetconn.AheadMost)] {
+	for _, t := range expected[:min(len(expected), targetconn.MaxAheadTargets)] {
 		policy := connectionPolicyOf(snap, t)
 		if !h.repeatableShares.isMostlyRepeatable(t.Service) || !policy.keep || h.conns.HasOpen(t) {
 			continue
 		}
-		if !h.aheadBudget.Spend() {
+		if !h.aheadBudget.Withdraw() {
 			return
 		}
 		go h.openAhead(ctx, t, policy.limit)
@@ -34,7 +34,7 @@
 // recordRemote records a request to a target in another region, which earns a part of a connection to
 // be opened ahead.
 func (h *Handler) recordRemote(x *exchange) {
-	h.aheadBudget.Earn()
+	h.aheadBudget.Deposit()
 	h.repeatableShares.record(x.match.Service.Name, x.repeatable)
 }
 
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -164,7 +164,7 @@
 	case !a.x.repeatable:
 		use = targetconn.UseRecent
 	case a.newConnOnly:
-		use = targetconn.UseFresh
+		use = targetconn.UseNew
 	}
 	ctx, cancel := context.WithTimeout(a.ctx, connectTimeout)
 	defer cancel()
@@ -180,7 +180,7 @@
 		}
 	}
 	a.conn = conn
-	a.connectTime = conn.OpenedIn()
+	a.connectTime = conn.ConnectTime()
 	if a.number > 1 {
 		a.x.h.deps.Logger.Log(eventRequestRetried, telemetry.Value("request_id", a.x.id), telemetry.Peer(a.target.Name),
 			telemetry.Value("digest", a.x.digestText()), telemetry.Value("attempt", a.number),
@@ -215,12 +215,12 @@
 		step = outcome.StepSend
 	}
 	result := attemptResult{Step: step, Fault: a.contextFault(FaultConnectionBroken), Err: err}
-	result.Sent = !a.conn.Untouched()
+	result.Sent = !a.conn.Seal()
 	if !result.Sent {
 		result.Step = outcome.StepSend
 	}
 	a.applyUploadError(&result)
-	result.Stale = result.Fault == FaultConnectionBroken && a.conn.Stale(a.x.h.deps.Clock.Now().Sub(a.sentAt))
+	result.Stale = result.Fault == FaultConnectionBroken && a.conn.DetectStale(a.x.h.deps.Clock.Now().Sub(a.sentAt))
 	return result
 }
 
@@ -272,9 +272,9 @@
 	}
 	switch result.Fault {
 	case FaultTargetTimeout:
-		a.x.h.conns.Suspect(a.target)
+		a.x.h.conns.DropIdle(a.target)
 	case FaultMismatched:
-		a.x.h.conns.Distrust(a.target)
+		a.x.h.conns.RestrictReuse(a.target)
 	}
 	a.release(result)
 }
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -87,7 +87,7 @@
 		a.load = &load
 	}
 	if timeout := keepAliveTimeout(h.Get("Keep-Alive")); timeout > 0 {
-		a.conn.TargetKeeps(timeout)
+		a.conn.SetKeepAliveTimeout(timeout)
 	}
 	a.draining = headerValue(h, d.TargetDraining) == "1"
 	if a.resp.StatusCode == http.StatusServiceUnavailable {
--- a/internal/placement/emulation/connections.go
+++ b/internal/placement/emulation/connections.go
@@ -19,7 +19,7 @@
 // idle reports whether an idle connection is fresh enough for use.
 func (c *connections) idle(now time.Time) bool {
 	n := len(c.idleSince)
-	return n > 0 && now.Sub(c.idleSince[n-1]) <= targetconn.KeptLimit(targetIdleTimeout)
+	return n > 0 && now.Sub(c.idleSince[n-1]) <= targetconn.IdleLimitFor(targetIdleTimeout)
 }
 
 // acquire uses the most recently used connection; false if a new one must be opened.
@@ -59,7 +59,7 @@
 		return 0
 	}
 	if t.region != v.region {
-		v.ahead.Earn()
+		v.ahead.Deposit()
 	}
 	if v.toTarget(t.name).acquire(r.now) {
 		return 0
@@ -77,7 +77,7 @@
 		if c.inUse > 0 || c.opening || c.idle(r.now) {
 			continue
 		}
-		if !v.ahead.Spend() {
+		if !v.ahead.Withdraw() {
 			break
 		}
 		c.opening = true
--- a/internal/targetconn/ahead.go
+++ b/internal/targetconn/ahead.go
@@ -70,17 +70,17 @@
 }
 
 // idleLimitLocked returns the longest idle time of a connection for reuse. p.mu must be held.
-func (p *pool) idleLimitLocked() time.Duration { return KeptLimit(p.keepAliveTimeout) }
+func (p *pool) idleLimitLocked() time.Duration { return IdleLimitFor(p.keepAliveTimeout) }
 
-// KeptLimit returns the longest idle time of a connection for reuse, given the keep-alive timeout that
-// its target announces. A timeout of 0 means that the target announces none.
-func KeptLimit(keepAliveTimeout time.Duration) time.Duration {
+// IdleLimitFor returns the longest idle time of a connection for reuse, given the keep-alive timeout
+// that its target announces. A timeout of 0 means that the target announces none.
+func IdleLimitFor(keepAliveTimeout time.Duration) time.Duration {
 	return min(max(keepAliveTimeout-closeMargin, defaultIdleLimit), maxIdleLimit)
 }
 
-// TargetKeeps records the keep-alive timeout that the target announced. It applies to all connections to
-// the target.
-func (c *Conn) TargetKeeps(d time.Duration) {
+// SetKeepAliveTimeout records the keep-alive timeout that the target announced. It applies to all
+// connections to the target.
+func (c *Conn) SetKeepAliveTimeout(d time.Duration) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.pool.keepAliveTimeout = d
--- a/internal/targetconn/ahead_test.go
+++ b/internal/targetconn/ahead_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	c := get(t, p, target, 4, UseAny)
-	if !c.reused || c.OpenedIn() != 0 {
+	if !c.reused || c.ConnectTime() != 0 {
 		t.Error("the request did not reuse the connection opened ahead")
 	}
 	if opened, err := p.OpenAhead(t.Context(), target, 4); err != nil || opened {
@@ -50,14 +50,14 @@
 	}
 }
 
-func TestKeptLimit(t *testing.T) {
+func TestIdleLimitFor(t *testing.T) {
 	for keeps, want := range map[time.Duration]time.Duration{
 		0:                defaultIdleLimit, // not announced
 		3 * time.Second:  defaultIdleLimit,
 		10 * time.Second: 9 * time.Second,
 		time.Hour:        maxIdleLimit,
 	} {
-		if got := KeptLimit(keeps); got != want {
+		if got := IdleLimitFor(keeps); got != want {
 			t.Errorf("keep-alive timeout %v: idle limit %v, want %v", keeps, got, want)
 		}
 	}
@@ -75,20 +75,20 @@
 
 func TestAheadBudget(t *testing.T) {
 	var b AheadBudget
-	if b.Spend() {
+	if b.Withdraw() {
 		t.Error("an empty budget allowed a connection")
 	}
-	b.Earn()
+	b.Deposit()
 	for i := range aheadPerRequest + 1 {
-		if got, want := b.Spend(), i < aheadPerRequest; got != want {
+		if got, want := b.Withdraw(), i < aheadPerRequest; got != want {
 			t.Errorf("connection %d after one request: allowed %v, want %v", i, got, want)
 		}
 	}
 	for range 2 * maxAheadBudget {
-		b.Earn()
+		b.Deposit()
 	}
 	n := 0
-	for b.Spend() {
+	for b.Withdraw() {
 		n++
 	}
 	if n != maxAheadBudget {
@@ -173,8 +173,8 @@
 			c := &Conn{pool: p.newPool(), reused: tt.reused, idleFor: tt.idle}
 			c.pool.recordConnectTime(2 * trip) // slower, as on a loaded VM
 			c.pool.recordConnectTime(trip)
-			if got := c.Stale(tt.after); got != tt.want {
-				t.Errorf("Stale = %v, want %v", got, tt.want)
+			if got := c.DetectStale(tt.after); got != tt.want {
+				t.Errorf("DetectStale = %v, want %v", got, tt.want)
 			}
 			if p.MostlyStale() != tt.want {
 				t.Errorf("MostlyStale = %v, want %v", p.MostlyStale(), tt.want)
--- a/internal/targetconn/budget.go
+++ b/internal/targetconn/budget.go
@@ -14,9 +14,9 @@
 	aheadPerRequest = 4
 	// maxAheadBudget is the largest balance of an AheadBudget, in connections.
 	maxAheadBudget = 64
-	// AheadMost is the maximum number of targets to which connections are opened ahead. It limits the
-	// memory of idle connections.
-	AheadMost = 512
+	// MaxAheadTargets is the maximum number of targets to which connections are opened ahead. It limits
+	// the memory of idle connections.
+	MaxAheadTargets = 512
 )
 
 // AheadBudget limits the connections opened ahead in proportion to the requests to other regions. The
@@ -26,15 +26,15 @@
 	balance float64 // in connections
 }
 
-// Earn adds the connections that a request to another region allows.
-func (b *AheadBudget) Earn() {
+// Deposit adds the connections that a request to another region allows.
+func (b *AheadBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.balance = min(b.balance+aheadPerRequest, maxAheadBudget)
 }
 
-// Spend takes one connection from the budget. It returns false if less than one is left.
-func (b *AheadBudget) Spend() bool {
+// Withdraw takes one connection from the budget. It returns false if less than one is left.
+func (b *AheadBudget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balance < 1 {
--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -19,8 +19,8 @@
 	connectTime time.Duration
 }
 
-// OpenedIn returns the time it took to open the connection, or 0 if this exchange reuses it.
-func (c *Conn) OpenedIn() time.Duration {
+// ConnectTime returns the time it took to open the connection, or 0 if this exchange reuses it.
+func (c *Conn) ConnectTime() time.Duration {
 	if c.reused {
 		return 0
 	}
@@ -32,10 +32,10 @@
 	return c.client.RoundTrip(req)
 }
 
-// Untouched forbids further writes and reports whether no byte of the request was written to the
+// Seal forbids further writes and reports whether no byte of the request was written to the
 // network. The result is final: if it is true, no byte will be written. The connection must then be
 // released by Drop.
-func (c *Conn) Untouched() bool { return c.wire.seal() }
+func (c *Conn) Seal() bool { return c.wire.seal() }
 
 // Keep releases the connection after a complete response. The connection becomes idle once its reader
 // waits for data, which shows that the target sent nothing after the response.
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -43,7 +43,7 @@
 // The values of Use.
 const (
 	UseAny    Use = iota // an idle connection, or else a new one
-	UseFresh             // only a new connection
+	UseNew               // only a new connection
 	UseRecent            // a connection idle for at most recentIdleLimit, or else a new one
 )
 
@@ -165,15 +165,15 @@
 	return pl
 }
 
-// Suspect closes the idle connections to a target. It is called after the target was silent on one of its
-// connections, as the target may have lost all of them.
-func (p *Pools) Suspect(t *config.TargetIndex) {
+// DropIdle closes the idle connections to a target. It is called after the target was silent on one of
+// its connections, as the target may have lost all of them.
+func (p *Pools) DropIdle(t *config.TargetIndex) {
 	p.pool(poolKey{t.Name, t.Address}).dropIdle()
 }
 
-// Distrust makes non-idempotent requests use only new connections to a target for
+// RestrictReuse makes non-idempotent requests use only new connections to a target for
 // reuseRestrictionTime. It is called after a mismatched response.
-func (p *Pools) Distrust(t *config.TargetIndex) {
+func (p *Pools) RestrictReuse(t *config.TargetIndex) {
 	pl := p.pool(poolKey{t.Name, t.Address})
 	pl.restrictReuse(p.deps.Clock.Now().Add(reuseRestrictionTime))
 }
--- a/internal/targetconn/stale.go
+++ b/internal/targetconn/stale.go
@@ -67,10 +67,10 @@
 	return limit
 }
 
-// Stale reports whether the connection had been idle and was reset so soon after the request that the
-// target can't have read it, and records a stale connection. The parameter is the time since the request
-// was sent. It must be called once, after an exchange that ended without a response.
-func (c *Conn) Stale(sinceSent time.Duration) bool {
+// DetectStale reports whether the connection had been idle and was reset so soon after the request that
+// the target can't have read it, and records a stale connection. The parameter is the time since the
+// request was sent. It must be called once, after an exchange that ended without a response.
+func (c *Conn) DetectStale(sinceSent time.Duration) bool {
 	maxResetDelay := time.Duration(resetRoundTrips*float64(c.pool.shortestConnectTime())) + resetSlack
 	if !c.reused || c.idleFor < minStaleIdle || sinceSent > maxResetDelay {
 		return false
--- a/internal/targetconn/targetconn_test.go
+++ b/internal/targetconn/targetconn_test.go
@@ -127,7 +127,7 @@
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections were opened, want 1", n)
 	}
-	if c := get(t, p, target, 2, UseFresh); c.reused {
+	if c := get(t, p, target, 2, UseNew); c.reused {
 		t.Error("a connection was reused although a new one was requested")
 	}
 }
@@ -175,8 +175,8 @@
 func TestLimitCountsIdleAndUsedConnections(t *testing.T) {
 	target := rawTarget(t, func(_ int, conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
 	p := newPools(t)
-	a := get(t, p, target, 2, UseFresh)
-	get(t, p, target, 2, UseFresh)
+	a := get(t, p, target, 2, UseNew)
+	get(t, p, target, 2, UseNew)
 	if _, err := p.Get(t.Context(), target, 2, UseAny); !errors.Is(err, ErrLimit) {
 		t.Errorf("got %v, want ErrLimit", err)
 	}
@@ -187,20 +187,20 @@
 func TestSealIsFinal(t *testing.T) {
 	target := rawTarget(t, func(_ int, conn net.Conn) { _, _ = io.Copy(io.Discard, conn) })
 	p := newPools(t)
-	c := get(t, p, target, 1, UseFresh)
-	if !c.Untouched() {
-		t.Fatal("Untouched is false although nothing was written")
+	c := get(t, p, target, 1, UseNew)
+	if !c.Seal() {
+		t.Fatal("Seal is false although nothing was written")
 	}
 	if _, err := c.wire.Write([]byte("GET")); !errors.Is(err, errNoExchange) {
-		t.Errorf("write after Untouched: got %v, want errNoExchange", err)
+		t.Errorf("write after Seal: got %v, want errNoExchange", err)
 	}
 	c.Drop()
-	c = get(t, p, target, 1, UseFresh)
+	c = get(t, p, target, 1, UseNew)
 	if _, err := c.wire.Write([]byte("G")); err != nil {
 		t.Fatal(err)
 	}
-	if c.Untouched() {
-		t.Error("Untouched is true although a byte was written")
+	if c.Seal() {
+		t.Error("Seal is true although a byte was written")
 	}
 }
 
@@ -219,13 +219,13 @@
 		}
 	})
 	p := newPools(t)
-	idle := get(t, p, target, 2, UseFresh)
+	idle := get(t, p, target, 2, UseNew)
 	if _, err := exchange(t.Context(), idle, "GET"); err != nil {
 		t.Fatal(err)
 	}
 	idle.Keep()
 	waitIdle(t, p, target, 1)
-	busy := get(t, p, target, 2, UseFresh)
+	busy := get(t, p, target, 2, UseNew)
 	done := make(chan error, 1)
 	go func() {
 		_, err := exchange(context.Background(), busy, "GET")
@@ -248,15 +248,15 @@
 func TestDropIdle(t *testing.T) {
 	target := soundTarget(t)
 	p := newPools(t)
-	c := get(t, p, target, 2, UseFresh)
+	c := get(t, p, target, 2, UseNew)
 	if _, err := exchange(t.Context(), c, "GET"); err != nil {
 		t.Fatal(err)
 	}
 	c.Keep()
 	waitIdle(t, p, target, 1)
-	p.Suspect(target)
+	p.DropIdle(target)
 	if c = get(t, p, target, 2, UseAny); c.reused {
-		t.Error("an idle connection was reused after Suspect")
+		t.Error("an idle connection was reused after DropIdle")
 	}
 }
 
@@ -293,12 +293,12 @@
 		{"recently used", 0, nil, UseRecent, true},
 		{"idle for too long", recentIdleLimit + time.Second, nil, UseRecent, false},
 		{"idle for too long, repeatable request", recentIdleLimit + time.Second, nil, UseAny, true},
-		{"after a mismatched response", 0, func(p *Pools) { p.Distrust(target) }, UseRecent, false},
-		{"after a mismatched response, repeatable request", 0, func(p *Pools) { p.Distrust(target) }, UseAny, true},
+		{"after a mismatched response", 0, func(p *Pools) { p.RestrictReuse(target) }, UseRecent, false},
+		{"after a mismatched response, repeatable request", 0, func(p *Pools) { p.RestrictReuse(target) }, UseAny, true},
 	}
 	for _, tt := range tests {
 		p := newPools(t)
-		c := get(t, p, target, 2, UseFresh)
+		c := get(t, p, target, 2, UseNew)
 		if _, err := exchange(t.Context(), c, "GET"); err != nil {
 			t.Fatal(err)
 		}
@@ -315,8 +315,8 @@
 		if next.reused != tt.reused {
 			t.Errorf("%s: reused = %t", tt.name, next.reused)
 		}
-		if (next.OpenedIn() == 0) != tt.reused {
-			t.Errorf("%s: OpenedIn = %v", tt.name, next.OpenedIn())
+		if (next.ConnectTime() == 0) != tt.reused {
+			t.Errorf("%s: ConnectTime = %v", tt.name, next.ConnectTime())
 		}
 		next.Drop()
 	}
