--- a/internal/placement/emulation/connections.go
+++ b/internal/placement/emulation/connections.go
@@ -9,23 +9,24 @@
 // targetIdleTimeout is the keep-alive timeout that emulated targets announce.
 const targetIdleTimeout = 10 * time.Second
 
-// connections are those of one VM to one target.
-type connections struct {
-	inUse     int
-	opening   bool
-	idleSince []time.Time // of the idle ones, the most recently used last
+// connPool holds the connections of one VM to one target.
+type connPool struct {
+	inUse        int
+	openingAhead bool
+	idleSince    []time.Time // of each idle connection; most recently used last
 }
 
-// idle reports whether an idle connection is fresh enough for use.
-func (c *connections) idle(now time.Time) bool {
+// hasIdle reports whether an idle connection is recent enough to be reused.
+func (c *connPool) hasIdle(now time.Time) bool {
 	n := len(c.idleSince)
 	return n > 0 && now.Sub(c.idleSince[n-1]) <= targetconn.KeptLimit(targetIdleTimeout)
 }
 
-// acquire uses the most recently used connection; false if a new one must be opened.
-func (c *connections) acquire(now time.Time) bool {
+// acquire takes the most recently used idle connection. It returns false if a new one must be
+// opened.
+func (c *connPool) acquire(now time.Time) bool {
 	c.inUse++
-	if !c.idle(now) {
+	if !c.hasIdle(now) {
 		c.idleSince = nil
 		return false
 	}
@@ -33,58 +34,58 @@
 	return true
 }
 
-// release returns a connection after an exchange.
-func (c *connections) release(now time.Time) {
+// release returns a connection to the pool after a complete exchange.
+func (c *connPool) release(now time.Time) {
 	c.inUse--
 	c.idleSince = append(c.idleSince, now)
 }
 
-// drop closes a connection whose exchange broke.
-func (c *connections) drop() { c.inUse-- }
+// drop closes a connection whose exchange was aborted.
+func (c *connPool) drop() { c.inUse-- }
 
-// toTarget returns the VM's connections to a target.
-func (v *vm) toTarget(name string) *connections {
-	c := v.connections[name]
+// connsTo returns the VM's connections to a target.
+func (v *vm) connsTo(name string) *connPool {
+	c := v.conns[name]
 	if c == nil {
-		c = &connections{}
-		v.connections[name] = c
+		c = &connPool{}
+		v.conns[name] = c
 	}
 	return c
 }
 
-// opening returns the time to open a connection: a round trip if none is open. Loads
-// without connections always have one.
-func (r *run) opening(v *vm, t *target) time.Duration {
-	if !r.load.Connect {
+// connectTime takes a connection to a target and returns the time to open it: a round trip, or 0
+// if an idle one is reused or the workload doesn't model connections.
+func (s *simulation) connectTime(v *vm, t *target) time.Duration {
+	if !s.workload.ModelConnections {
 		return 0
 	}
 	if t.region != v.region {
-		v.ahead.Earn()
+		v.aheadBudget.Earn()
 	}
-	if v.toTarget(t.name).acquire(r.now) {
+	if v.connsTo(t.name).acquire(s.now) {
 		return 0
 	}
-	return 2 * r.delay(v.region, t.region)
+	return 2 * s.delay(v.region, t.region)
 }
 
-// openAhead regularly opens connections to targets that are expected to get requests.
-func (r *run) openAhead(v *vm) {
-	if !r.load.Connect || r.now.Sub(start) > r.load.Length {
+// openAhead periodically opens connections to targets that are likely to get requests soon.
+func (s *simulation) openAhead(v *vm) {
+	if !s.workload.ModelConnections || s.now.Sub(startTime) > s.workload.Length {
 		return
 	}
-	for _, t := range v.pool.Expected(r.now) {
-		c := v.toTarget(t.Name)
-		if c.inUse > 0 || c.opening || c.idle(r.now) {
+	for _, t := range v.pool.Expected(s.now) {
+		c := v.connsTo(t.Name)
+		if c.inUse > 0 || c.openingAhead || c.hasIdle(s.now) {
 			continue
 		}
-		if !v.ahead.Spend() {
+		if !v.aheadBudget.Spend() {
 			break
 		}
-		c.opening = true
-		r.after(2*r.delay(v.region, t.Region), func() {
-			c.opening = false
-			c.idleSince = append(c.idleSince, r.now)
+		c.openingAhead = true
+		s.after(2*s.delay(v.region, t.Region), func() {
+			c.openingAhead = false
+			c.idleSince = append(c.idleSince, s.now)
 		})
 	}
-	r.after(targetconn.AheadInterval, func() { r.openAhead(v) })
+	s.after(targetconn.AheadInterval, func() { s.openAhead(v) })
 }
--- a/internal/placement/emulation/schedule.go
+++ b/internal/placement/emulation/events.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// event is something that is due.
+// event is a function that is called at a simulated time.
 type event struct {
 	at  time.Time
-	seq int // events of one moment happen in the order in which they were planned
+	seq int // orders events of the same time by when they were scheduled
 	do  func()
 }
 
-func (r *run) after(d time.Duration, do func()) {
-	r.seq++
-	heap.Push(&r.events, event{r.now.Add(d), r.seq, do})
+// after schedules do to be called after d of simulated time.
+func (s *simulation) after(d time.Duration, do func()) {
+	s.seq++
+	heap.Push(&s.events, event{s.now.Add(d), s.seq, do})
 }
 
+// eventHeap implements heap.Interface, with the next event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
--- a/internal/placement/emulation/reporting.go
+++ b/internal/placement/emulation/reporting.go
@@ -2,69 +2,71 @@
 
 import "masticturn/internal/placement"
 
-// reportRegularly publishes a VM's load reports at the interval.
-func (r *run) reportRegularly(v *vm) {
-	if r.load.Alone || r.now.Sub(start) > r.load.Length {
+// sendReports sends a VM's load reports periodically.
+func (s *simulation) sendReports(v *vm) {
+	if s.workload.NoReports || s.now.Sub(startTime) > s.workload.Length {
 		return
 	}
-	r.publish(v)
-	r.after(placement.ReportInterval, func() { r.reportRegularly(v) })
+	s.sendReport(v)
+	s.after(placement.ReportInterval, func() { s.sendReports(v) })
 }
 
-// publish sends a VM's next report.
-func (r *run) publish(v *vm) {
+// sendReport sends a VM's next load report to its parent or, at the root, the total to its
+// children.
+func (s *simulation) sendReport(v *vm) {
 	own := func() *placement.LoadReport {
-		w := &placement.LoadReport{Services: make(map[string]*placement.Usage)}
+		report := &placement.LoadReport{Services: make(map[string]*placement.Usage)}
 		if u := v.pool.ReportUsage(); !u.Empty() {
-			w.Services[r.load.Name] = u
+			report.Services[s.workload.Name] = u
 		}
-		return w
+		return report
 	}
-	next := v.aggregator.Next(own, r.now)
+	next := v.aggregator.Next(own, s.now)
 	if next.Total {
-		r.applyTotal(v, next.Report)
+		s.applyTotal(v, next.Report)
 	}
 	for _, name := range next.To {
-		to := r.vmNamed[name]
-		r.after(r.load.WithinRegion, func() {
+		to := s.vmsByName[name]
+		s.after(s.workload.WithinRegion, func() {
 			if next.Total {
-				r.forwardTotal(v, to, next.Report)
+				s.deliverTotal(v, to, next.Report)
 			} else {
-				r.report(v, to, next.Report)
+				s.deliverReport(v, to, next.Report)
 			}
 		})
 	}
 }
 
-// report delivers a report to the parent.
-func (r *run) report(from, to *vm, report *placement.LoadReport) {
-	if !to.aggregator.Receive(from.name, report, r.now) || to.relaying {
+// deliverReport delivers a report to the parent, which forwards it after GatherDelay together
+// with those of its other children.
+func (s *simulation) deliverReport(from, to *vm, report *placement.LoadReport) {
+	if !to.aggregator.Receive(from.name, report, s.now) || to.collecting {
 		return
 	}
-	to.relaying = true
-	r.after(placement.GatherDelay, func() {
-		to.relaying = false
-		r.publish(to)
+	to.collecting = true
+	s.after(placement.GatherDelay, func() {
+		to.collecting = false
+		s.sendReport(to)
 	})
 }
 
-// forwardTotal delivers the total to a child.
-func (r *run) forwardTotal(from, to *vm, report *placement.LoadReport) {
+// deliverTotal delivers the region's total to a child, which applies and forwards it.
+func (s *simulation) deliverTotal(from, to *vm, report *placement.LoadReport) {
 	children, ok := to.aggregator.TotalRecipients(from.name)
 	if !ok {
 		return
 	}
-	r.applyTotal(to, report)
+	s.applyTotal(to, report)
 	for _, name := range children {
-		child := r.vmNamed[name]
-		r.after(r.load.WithinRegion, func() { r.forwardTotal(to, child, report) })
+		child := s.vmsByName[name]
+		s.after(s.workload.WithinRegion, func() { s.deliverTotal(to, child, report) })
 	}
 }
 
-func (r *run) applyTotal(v *vm, report *placement.LoadReport) {
-	u := report.Services[r.load.Name]
+func (s *simulation) applyTotal(v *vm, report *placement.LoadReport) {
+	u := report.Services[s.workload.Name]
 	if u == nil {
 		u = &placement.Usage{}
 	}
-	v.pool.ApplyUsage(u, report.TTL, r.now)
+	v.pool.ApplyUsage(u, report.TTL, s.now)
 }
--- a/internal/placement/emulation/requests.go
+++ b/internal/placement/emulation/requests.go
@@ -10,247 +10,249 @@
 	"masticturn/internal/placement"
 )
 
-// nextArrival schedules the next request of a region's callers.
-func (r *run) nextArrival(region int) {
-	l := r.load
-	at := r.now.Sub(start)
+// scheduleArrival schedules the next request of a region's callers. Arrivals are a Poisson
+// process whose rate follows the region's wave.
+func (s *simulation) scheduleArrival(region int) {
+	l := s.workload
+	at := s.now.Sub(startTime)
 	phase := float64(at)/float64(l.Period) + float64(region)/float64(len(l.Regions))
-	rate := l.Rate / float64(len(l.Regions)) * r.burst * (1 + l.Swing*math.Sin(2*math.Pi*phase))
-	gap := time.Duration(r.rng.ExpFloat64() / rate * float64(time.Second))
+	rate := l.Rate / float64(len(l.Regions)) * s.rateFactor * (1 + l.Amplitude*math.Sin(2*math.Pi*phase))
+	gap := time.Duration(s.rng.ExpFloat64() / rate * float64(time.Second))
 	if at+gap > l.Length {
 		return
 	}
-	r.after(gap, func() {
-		q := r.newRequest(l.Regions[region].Name)
-		q.object = fmt.Sprintf("%s-%d", q.region, r.rng.IntN(l.Objects))
-		r.result.ask(q)
-		r.after(l.Deadline, func() { r.expire(q) })
-		r.arrive(q)
-		r.nextArrival(region)
+	s.after(gap, func() {
+		q := s.newRequest(l.Regions[region].Name)
+		q.object = fmt.Sprintf("%s-%d", q.region, s.rng.IntN(l.Objects))
+		s.tally.recordRequest(q)
+		s.after(l.Deadline, func() { s.expire(q) })
+		s.arriveAtVM(q)
+		s.scheduleArrival(region)
 	})
 }
 
-// arrive delivers a request to a random VM of its region.
-func (r *run) arrive(q *request) {
-	if q.decided {
+// arriveAtVM delivers a request to a random VM of its region.
+func (s *simulation) arriveAtVM(q *request) {
+	if q.done {
 		return
 	}
-	var near []*vm
-	for _, v := range r.vms {
+	var candidates []*vm
+	for _, v := range s.vms {
 		if v.region == q.region {
-			near = append(near, v)
+			candidates = append(candidates, v)
 		}
 	}
-	q.vm = near[r.rng.IntN(len(near))]
-	if !r.mayRun(q) {
-		r.finish(q, outcomeRefused)
+	q.vm = candidates[s.rng.IntN(len(candidates))]
+	if !s.mayRun(q) {
+		s.finish(q, outcomeRefused)
 		return
 	}
-	q.arrived = r.now
-	q.tries = 0
+	q.arrivedAt = s.now
+	q.attempts = 0
 	q.exclude = nil
-	r.enqueue(q)
+	s.enqueue(q)
 }
 
-func (r *run) enqueue(q *request) {
+func (s *simulation) enqueue(q *request) {
 	w := q.vm.pool.Enqueue(&placement.Request{
 		Key:      q.object,
-		Rule:     &config.Rule{ObjectiveMS: config.Millis(r.load.Objective.Milliseconds())},
+		Rule:     &config.Rule{ObjectiveMS: config.Millis(s.workload.Objective.Milliseconds())},
 		Exclude:  q.exclude,
-		Arrived:  q.arrived,
-		Deadline: q.asked.Add(r.load.Deadline),
-	}, r.now)
-	q.waiting = w
+		Arrived:  q.arrivedAt,
+		Deadline: q.sentAt.Add(s.workload.Deadline),
+	}, s.now)
+	q.entry = w
 	if w.Refused != nil {
-		r.refused(q)
+		s.handleRefusal(q)
 		return
 	}
-	q.vm.waiters[w] = q
-	r.serve(q.vm)
+	q.vm.queued[w] = q
+	s.serve(q.vm)
 }
 
-// serve decides on a VM's waiting requests.
-func (r *run) serve(v *vm) {
-	for _, w := range v.pool.Serve(r.now) {
-		q := v.waiters[w]
-		delete(v.waiters, w)
+// serve places or refuses a VM's queued requests. It reschedules itself while requests remain
+// queued.
+func (s *simulation) serve(v *vm) {
+	for _, w := range v.pool.Serve(s.now) {
+		q := v.queued[w]
+		delete(v.queued, w)
 		if w.Selected != nil {
-			r.send(q, w)
+			s.send(q, w)
 		} else {
-			r.refused(q)
+			s.handleRefusal(q)
 		}
 	}
-	if v.ticking || v.pool.QueueLen() == 0 {
+	if v.serveScheduled || v.pool.QueueLen() == 0 {
 		return
 	}
-	v.ticking = true
-	r.after(retryInterval, func() {
-		v.ticking = false
-		r.serve(v)
+	v.serveScheduled = true
+	s.after(queueInterval, func() {
+		v.serveScheduled = false
+		s.serve(v)
 	})
 }
 
-// refused schedules the caller's retry, or ends the request.
-func (r *run) refused(q *request) {
-	left := q.asked.Add(r.load.Deadline).Sub(r.now)
-	wait := min(q.waiting.Refused.RetryAfter, time.Duration(retryShare*float64(left)))
+// handleRefusal schedules the caller's retry, or ends the request if none is left.
+func (s *simulation) handleRefusal(q *request) {
+	remaining := q.sentAt.Add(s.workload.Deadline).Sub(s.now)
+	wait := min(q.entry.Refused.RetryAfter, time.Duration(maxRetryWaitShare*float64(remaining)))
 	if q.retries >= maxRetries {
-		r.finish(q, outcomeRefused)
+		s.finish(q, outcomeRefused)
 		return
 	}
 	q.retries++
-	r.after(wait, func() { r.arrive(q) })
+	s.after(wait, func() { s.arriveAtVM(q) })
 }
 
-func (r *run) delay(from, to string) time.Duration {
+func (s *simulation) delay(from, to string) time.Duration {
 	if from == to {
-		return r.load.WithinRegion
+		return s.workload.WithinRegion
 	}
-	return r.load.OneWay
+	return s.workload.OneWay
 }
 
 // send sends a request to the selected target.
-func (r *run) send(q *request, w place) {
-	q.tries++
-	t := r.byName[w.Selected.Target().Name]
-	opening := r.opening(q.vm, t)
-	y := &try{req: q, vm: q.vm, target: t, opening: opening, sent: r.now.Add(opening), place: w}
-	q.try = y
-	r.tries[y] = true
-	r.after(opening+r.delay(q.region, t.region), func() { r.reach(y) })
+func (s *simulation) send(q *request, w queueEntry) {
+	q.attempts++
+	t := s.targetsByName[w.Selected.Target().Name]
+	connectTime := s.connectTime(q.vm, t)
+	a := &attempt{req: q, vm: q.vm, target: t, connectTime: connectTime, sentAt: s.now.Add(connectTime), entry: w}
+	q.attempt = a
+	s.inFlight[a] = true
+	s.after(connectTime+s.delay(q.region, t.region), func() { s.arriveAtTarget(a) })
 }
 
-// reach delivers a request to its target.
-func (r *run) reach(y *try) {
-	if y.over {
+// arriveAtTarget delivers a request to its target.
+func (s *simulation) arriveAtTarget(a *attempt) {
+	if a.done {
 		return
 	}
-	t := y.target
+	t := a.target
 	if t.down {
-		r.after(r.delay(t.region, y.req.region), func() { r.broken(y, placement.Result{Failed: true, ConnectionRefused: true}) })
+		s.after(s.delay(t.region, a.req.region), func() { s.handleBrokenConn(a, placement.Result{Failed: true, ConnectionRefused: true}) })
 		return
 	}
 	t.arrivals++
-	r.result.arrivals++
-	r.result.arrive(y, r.now)
+	s.tally.arrivals++
+	s.tally.recordArrival(a, s.now)
 	switch {
 	case t.backoff > 0:
 		retryAfter := t.backoff
-		r.after(r.delay(t.region, y.req.region), func() { r.backedOff(y, retryAfter) })
+		s.after(s.delay(t.region, a.req.region), func() { s.deliverBackoff(a, retryAfter) })
 	case t.running < t.slots:
-		r.begin(y)
-	case len(t.waiting) < t.queueLimit:
-		t.waiting = append(t.waiting, y)
+		s.startRun(a)
+	case len(t.queue) < t.queueLimit:
+		t.queue = append(t.queue, a)
 	default:
-		r.result.shed++
-		r.after(r.delay(t.region, y.req.region), func() { r.shed(y) })
+		s.tally.shed++
+		s.after(s.delay(t.region, a.req.region), func() { s.deliverShed(a) })
 	}
 }
 
-// begin starts a run at a target.
-func (r *run) begin(y *try) {
-	t := y.target
+// startRun runs a request in a slot of its target.
+func (s *simulation) startRun(a *attempt) {
+	t := a.target
 	t.running++
-	y.running = true
-	r.result.run(y, r.now)
-	if y.req.crashing != nil {
-		r.after(crashAfter, func() { r.crash(y) })
+	a.running = true
+	s.tally.recordRun(a, s.now)
+	if a.req.crash != nil {
+		s.after(crashDelay, func() { s.crashTarget(a) })
 		return
 	}
-	work := float64(r.load.Work) * max(0.1, 1+r.load.Spread*r.rng.NormFloat64())
-	if t.use(y.req.object) {
-		work *= r.load.KnownPart
+	runTime := float64(s.workload.ColdRunTime) * max(0.1, 1+s.workload.RunTimeVariation*s.rng.NormFloat64())
+	if t.accessObject(a.req.object) {
+		runTime *= s.workload.CachedFactor
 	} else {
-		r.result.fresh++
+		s.tally.coldRuns++
 	}
-	r.after(time.Duration(work), func() { r.end(y) })
+	s.after(time.Duration(runTime), func() { s.finishRun(a) })
 }
 
-// free passes a slot on to the target's queue.
-func (r *run) free(t *target) {
+// releaseSlot frees a slot and starts queued requests.
+func (s *simulation) releaseSlot(t *target) {
 	t.running = max(0, t.running-1)
-	for len(t.waiting) > 0 && t.running < t.slots {
-		next := t.waiting[0]
-		t.waiting = t.waiting[1:]
-		if !next.over {
-			r.begin(next)
+	for len(t.queue) > 0 && t.running < t.slots {
+		next := t.queue[0]
+		t.queue = t.queue[1:]
+		if !next.done {
+			s.startRun(next)
 		}
 	}
 }
 
-// end ends a run; the answer carries the target's load.
-func (r *run) end(y *try) {
-	if y.over {
+// finishRun ends a run and sends the answer, which carries the target's load.
+func (s *simulation) finishRun(a *attempt) {
+	if a.done {
 		return
 	}
-	y.over = true
-	delete(r.tries, y)
-	t := y.target
-	r.free(t)
-	load := &edge.Load{Running: t.running, Waiting: len(t.waiting), Slots: t.slots}
+	a.done = true
+	delete(s.inFlight, a)
+	t := a.target
+	s.releaseSlot(t)
+	load := &edge.Load{Running: t.running, Waiting: len(t.queue), Slots: t.slots}
 	leaving := t.leaving
-	r.after(r.delay(t.region, y.req.region), func() {
-		r.answered(y, leaving)
-		y.vm.toTarget(t.name).release(r.now)
-		y.vm.pool.Release(y.place.Selected, placement.Result{Load: load, Connect: y.opening, Latency: r.now.Sub(y.sent)}, r.now)
-		r.finish(y.req, outcomeAnswered)
-		r.serve(y.vm)
+	s.after(s.delay(t.region, a.req.region), func() {
+		s.handleAnswer(a, leaving)
+		a.vm.connsTo(t.name).release(s.now)
+		a.vm.pool.Release(a.entry.Selected, placement.Result{Load: load, Connect: a.connectTime, Latency: s.now.Sub(a.sentAt)}, s.now)
+		s.finish(a.req, outcomeAnswered)
+		s.serve(a.vm)
 	})
 }
 
-// shed delivers a target's refusal for lack of room.
-func (r *run) shed(y *try) {
-	y.over = true
-	delete(r.tries, y)
-	y.vm.toTarget(y.target.name).release(r.now)
-	load := &edge.Load{Running: y.target.running, Waiting: len(y.target.waiting), Slots: y.target.slots}
-	y.vm.pool.Release(y.place.Selected, placement.Result{Load: load, Shed: true}, r.now)
-	r.elsewhere(y)
+// deliverShed delivers the refusal of a target whose queue is full.
+func (s *simulation) deliverShed(a *attempt) {
+	a.done = true
+	delete(s.inFlight, a)
+	a.vm.connsTo(a.target.name).release(s.now)
+	load := &edge.Load{Running: a.target.running, Waiting: len(a.target.queue), Slots: a.target.slots}
+	a.vm.pool.Release(a.entry.Selected, placement.Result{Load: load, Shed: true}, s.now)
+	s.tryNextTarget(a)
 }
 
-// elsewhere tries another target, or refuses the request.
-func (r *run) elsewhere(y *try) {
-	q := y.req
-	q.try = nil
+// tryNextTarget queues a request for another target, or refuses it after maxAttempts.
+func (s *simulation) tryNextTarget(a *attempt) {
+	q := a.req
+	q.attempt = nil
 	switch {
-	case q.decided:
-	case q.tries < maxTries:
-		q.exclude = append(q.exclude, y.target.name)
-		r.enqueue(q)
+	case q.done:
+	case q.attempts < maxAttempts:
+		q.exclude = append(q.exclude, a.target.name)
+		s.enqueue(q)
 	default:
-		q.waiting.Refused = &placement.Refusal{RetryAfter: shedRetryAfter}
-		r.refused(q)
+		q.entry.Refused = &placement.Refusal{RetryAfter: shedRetryAfter}
+		s.handleRefusal(q)
 	}
-	r.serve(y.vm)
+	s.serve(a.vm)
 }
 
-// shedRetryAfter is the Retry-After of requests that all tried targets shed.
+// shedRetryAfter is the Retry-After of requests that were not run by any of maxAttempts targets.
 const shedRetryAfter = 300 * time.Millisecond
 
 // expire ends a request whose deadline has passed.
-func (r *run) expire(q *request) {
-	if q.decided {
+func (s *simulation) expire(q *request) {
+	if q.done {
 		return
 	}
-	if q.waiting != nil && q.vm.pool.Cancel(q.waiting) {
-		delete(q.vm.waiters, q.waiting)
+	if q.entry != nil && q.vm.pool.Cancel(q.entry) {
+		delete(q.vm.queued, q.entry)
 	}
-	if y := q.try; y != nil && !y.over {
-		y.over = true
-		delete(r.tries, y)
-		y.vm.toTarget(y.target.name).drop()
-		if y.running {
-			r.free(y.target)
+	if a := q.attempt; a != nil && !a.done {
+		a.done = true
+		delete(s.inFlight, a)
+		a.vm.connsTo(a.target.name).drop()
+		if a.running {
+			s.releaseSlot(a.target)
 		}
-		y.vm.pool.Release(y.place.Selected, placement.Result{Failed: true}, r.now)
+		a.vm.pool.Release(a.entry.Selected, placement.Result{Failed: true}, s.now)
 	}
-	r.finish(q, outcomeFailed)
+	s.finish(q, outcomeFailed)
 }
 
-func (r *run) finish(q *request, o outcome) {
-	if q.decided {
+func (s *simulation) finish(q *request, o outcome) {
+	if q.done {
 		return
 	}
-	q.decided = true
-	r.result.decide(q, o, r.now)
+	q.done = true
+	s.tally.recordOutcome(q, o, s.now)
 }
--- a/internal/placement/emulation/shifted_test.go
+++ b/internal/placement/emulation/shifted_test.go
@@ -6,9 +6,9 @@
 	"masticturn/internal/placement"
 )
 
-// Where first runs are late by themselves, the default policy beats the one that moves to other
-// regions when the own one is full, in the worst-served region too.
-func TestCompletionServesBestWhereFirstRunsAreLate(t *testing.T) {
+// If the run time of an uncached object alone exceeds the objective, the default policy must achieve
+// more worth than PolicyHashingRegions, overall and in the worst region.
+func TestCompletionBeatsHashingRegionsWithLateColdRuns(t *testing.T) {
 	for _, l := range ShiftedLoads() {
 		t.Run(l.Name, func(t *testing.T) {
 			t.Parallel()
@@ -16,7 +16,7 @@
 			best := Play(l, placement.PolicyCompletion, 1)
 			other := Play(l, placement.PolicyHashingRegions, 1)
 			if best.Worth < other.Worth+0.05 || best.WorstRegion < other.WorstRegion+0.05 {
-				t.Errorf("%.3f of the worth, %.3f in the worst region; %s %.3f, %.3f",
+				t.Errorf("worth %.3f, in the worst region %.3f; want 0.05 more than %s with %.3f and %.3f",
 					best.Worth, best.WorstRegion, other.Policy, other.Worth, other.WorstRegion)
 			}
 		})
--- a/internal/placement/emulation/stop_test.go
+++ b/internal/placement/emulation/stop_test.go
@@ -6,19 +6,19 @@
 	"masticturn/internal/placement"
 )
 
-// shiftAllowed is the deployments' limit of the share of a region's requests that changes
-// the region between windows.
-const shiftAllowed = 0.15
+// maxShiftAllowed is the deployments' limit of the share of a region's requests that moves to other
+// regions between windows.
+const maxShiftAllowed = 0.15
 
-// Requests in flight when callers stop must not count as a shift between regions: those to
-// remote targets reach them last.
+// Requests in flight when callers stop must not count as a shift between regions. Those to remote
+// targets arrive last, so the last window contains a larger share of them.
 func TestCallersThatStopShowNoShift(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 4; seed++ {
 		r := Play(callersThatStop(), placement.PolicyCompletion, seed)
-		if r.EndShift > shiftAllowed {
-			t.Errorf("seed %d: at least %.2f of a region's requests changed their region when callers stopped, want %.2f at most",
-				seed, r.EndShift, shiftAllowed)
+		if r.FinalShift > maxShiftAllowed {
+			t.Errorf("seed %d: at least %.2f of a region's requests moved between regions when callers stopped, want %.2f at most",
+				seed, r.FinalShift, maxShiftAllowed)
 		}
 	}
 }
--- a/internal/placement/emulation/tally.go
+++ b/internal/placement/emulation/tally.go
@@ -17,55 +17,56 @@
 	outcomeFailed
 )
 
-// earned is what a group of requests earned of what they could.
-type earned struct {
-	asked int
-	worth float64
+// average accumulates values, such as the worth of requests, for their mean.
+type average struct {
+	count int
+	sum   float64
 }
 
-func (e *earned) part() float64 {
-	if e.asked == 0 {
+// mean returns the mean, or 1 if there are no values.
+func (a *average) mean() float64 {
+	if a.count == 0 {
 		return 1
 	}
-	return e.worth / float64(e.asked)
+	return a.sum / float64(a.count)
 }
 
-// tally collects what callers got.
+// tally collects the data for a Result.
 type tally struct {
-	load     *Load
-	all      earned
-	windows  []earned
-	regions  map[string]*earned
-	runs     map[string][]map[string]int // by region of the callers, window and region of the target
-	took     []time.Duration
-	inTime   int
-	late     int
-	refused  int
-	failed   int
-	shed     int
-	arrivals int
-	fresh    int
-
-	lost          int
-	leavingSince  map[path]time.Time // when the target announced to the VM that it leaves
-	backoffUntil  map[path]time.Time // end of the backoff that the target asked of the VM
+	workload  *Load
+	all       average
+	windows   []average
+	regions   map[string]*average
+	runs      map[string][]map[string]int // number by callers' region, window and target's region
+	latencies []time.Duration
+	inTime    int
+	late      int
+	refused   int
+	failed    int
+	shed      int
+	arrivals  int
+	coldRuns  int
+
+	crashes       int
+	leavingSince  map[vmTarget]time.Time // when the VM learned that the target is leaving
+	backoffUntil  map[vmTarget]time.Time // end of the backoff that the target requested from the VM
 	afterLeaving  int
 	duringBackoff int
 }
 
-// path is from a VM to a target.
-type path struct {
+// vmTarget is a pair of a VM and a target.
+type vmTarget struct {
 	vm     *vm
 	target *target
 }
 
-// arrive records that a request has reached a target.
-func (t *tally) arrive(y *try, now time.Time) {
-	w := path{y.vm, y.target}
-	if at, ok := t.leavingSince[w]; ok && y.sent.After(at) {
+// recordArrival counts arrivals that the target's earlier notices should have prevented.
+func (t *tally) recordArrival(a *attempt, now time.Time) {
+	w := vmTarget{a.vm, a.target}
+	if at, ok := t.leavingSince[w]; ok && a.sentAt.After(at) {
 		t.afterLeaving++
 	}
-	if y.sent.Before(t.backoffUntil[w]) {
+	if a.sentAt.Before(t.backoffUntil[w]) {
 		t.duringBackoff++
 	}
 }
@@ -73,11 +74,11 @@
 func newTally(l *Load) tally {
 	windows := int(l.Length/windowLength) + 1
 	t := tally{
-		load: l, regions: make(map[string]*earned), windows: make([]earned, windows), runs: make(map[string][]map[string]int),
-		leavingSince: make(map[path]time.Time), backoffUntil: make(map[path]time.Time),
+		workload: l, regions: make(map[string]*average), windows: make([]average, windows), runs: make(map[string][]map[string]int),
+		leavingSince: make(map[vmTarget]time.Time), backoffUntil: make(map[vmTarget]time.Time),
 	}
 	for _, r := range l.Regions {
-		t.regions[r.Name] = &earned{}
+		t.regions[r.Name] = &average{}
 		t.runs[r.Name] = make([]map[string]int, windows)
 		for i := range windows {
 			t.runs[r.Name][i] = make(map[string]int)
@@ -86,72 +87,75 @@
 	return t
 }
 
-func (t *tally) window(q *request) *earned { return &t.windows[q.asked.Sub(start)/windowLength] }
+func (t *tally) windowOf(q *request) *average {
+	return &t.windows[q.sentAt.Sub(startTime)/windowLength]
+}
 
-func (t *tally) ask(q *request) {
-	t.all.asked++
-	t.window(q).asked++
-	t.regions[q.region].asked++
+func (t *tally) recordRequest(q *request) {
+	t.all.count++
+	t.windowOf(q).count++
+	t.regions[q.region].count++
 }
 
-// run records where a request runs.
-func (t *tally) run(y *try, now time.Time) {
-	if i := int(now.Sub(start) / windowLength); i < len(t.windows) {
-		t.runs[y.req.region][i][y.target.region]++
+// recordRun records the region in which a request runs.
+func (t *tally) recordRun(a *attempt, now time.Time) {
+	if i := int(now.Sub(startTime) / windowLength); i < len(t.windows) {
+		t.runs[a.req.region][i][a.target.region]++
 	}
 }
 
-// mostShifted returns the largest part of a region's requests that changed the
-// region in which they run from one window to the next.
-func (t *tally) mostShifted() float64 {
-	most := 0.0
+// maxShift returns the largest share of a region's requests that moved to other regions from one
+// window to the next.
+func (t *tally) maxShift() float64 {
+	largest := 0.0
 	for _, windows := range t.runs {
 		for i := 1; i < len(windows)-1; i++ {
-			most = max(most, shifted(windows[i-1], windows[i]))
+			largest = max(largest, shiftBetween(windows[i-1], windows[i]))
 		}
 	}
-	return most
+	return largest
 }
 
 const (
-	// certainty is how many standard deviations a share must differ for the
-	// difference to count as shown.
-	certainty = 3
-	// maxShareDeviation is the largest standard deviation of one request's membership
-	// in a share, which is that of one half.
+	// significantDeviations is the number of standard deviations above which a difference of
+	// shares is significant.
+	significantDeviations = 3
+	// maxShareDeviation is the largest standard deviation of a Bernoulli variable, reached at
+	// a probability of one half.
 	maxShareDeviation = 0.5
 )
 
-// endShift returns the largest part of a region's requests that is shown to have
-// changed the region when callers stop: the last window holds only what was under
-// way then. A difference within what so few requests can show does not count.
-func (t *tally) endShift() float64 {
-	most := 0.0
+// finalShift returns the largest share of a region's requests that moved to other regions when
+// callers stopped. The last window contains only runs of requests that were in flight then, so
+// the sampling error of these few is subtracted.
+func (t *tally) finalShift() float64 {
+	largest := 0.0
 	for _, windows := range t.runs {
 		last := len(windows) - 1
-		if total(windows[last]) == 0 || total(windows[last-1]) == 0 {
+		if sumRuns(windows[last]) == 0 || sumRuns(windows[last-1]) == 0 {
 			continue
 		}
-		deviation := maxShareDeviation / math.Sqrt(float64(total(windows[last])))
-		most = max(most, shifted(windows[last-1], windows[last])-certainty*deviation)
+		deviation := maxShareDeviation / math.Sqrt(float64(sumRuns(windows[last])))
+		largest = max(largest, shiftBetween(windows[last-1], windows[last])-significantDeviations*deviation)
 	}
-	return most
+	return largest
 }
 
-// shifted returns by how much two windows' shares of the regions differ.
-func shifted(before, after map[string]int) float64 {
-	was, is := total(before), total(after)
-	if was == 0 || is == 0 {
+// shiftBetween returns the share of runs that moved between regions from one window to another.
+// The arguments are the numbers of runs by region.
+func shiftBetween(before, after map[string]int) float64 {
+	totalBefore, totalAfter := sumRuns(before), sumRuns(after)
+	if totalBefore == 0 || totalAfter == 0 {
 		return 0
 	}
 	gained := 0.0
 	for region, n := range after {
-		gained += max(0, float64(n)/float64(is)-float64(before[region])/float64(was))
+		gained += max(0, float64(n)/float64(totalAfter)-float64(before[region])/float64(totalBefore))
 	}
 	return gained
 }
 
-func total(runs map[string]int) int {
+func sumRuns(runs map[string]int) int {
 	n := 0
 	for _, k := range runs {
 		n += k
@@ -159,8 +163,8 @@
 	return n
 }
 
-func (t *tally) decide(q *request, o outcome, now time.Time) {
-	if q.crashing != nil {
+func (t *tally) recordOutcome(q *request, o outcome, now time.Time) {
+	if q.crash != nil {
 		return
 	}
 	worth := 0.0
@@ -170,63 +174,63 @@
 	case outcomeFailed:
 		t.failed++
 	case outcomeAnswered:
-		took := now.Sub(q.asked)
-		t.took = append(t.took, took)
-		if took <= t.load.Objective {
+		latency := now.Sub(q.sentAt)
+		t.latencies = append(t.latencies, latency)
+		if latency <= t.workload.Objective {
 			t.inTime++
 			worth = 1
 		} else {
 			t.late++
-			worth = t.load.LateWorth
+			worth = t.workload.LateWorth
 		}
 	}
-	t.all.worth += worth
-	t.window(q).worth += worth
-	t.regions[q.region].worth += worth
+	t.all.sum += worth
+	t.windowOf(q).sum += worth
+	t.regions[q.region].sum += worth
 }
 
-// minWindowShare is the share of the mean number of requests that a window needs to
-// count, as the last one is cut short.
+// minWindowShare is the share of the mean number of requests that a window needs to count for
+// WorstWindow, as the last window is shorter than the others.
 const minWindowShare = 0.5
 
 func (t *tally) summary(policy placement.Policy, targets []*target) *Result {
 	r := &Result{
-		Load: t.load.Name, Policy: policy, Asked: t.all.asked, InTime: t.inTime, Late: t.late, Refused: t.refused, Failed: t.failed,
-		Shed: t.shed, Arrivals: t.arrivals, Fresh: t.fresh, Worth: t.all.part(), WorstWindow: 1, WorstRegion: 1,
-		Busiest: busiest(targets), MostShifted: t.mostShifted(), EndShift: t.endShift(),
-		Lost: t.lost, AfterLeaving: t.afterLeaving, DuringBackoff: t.duringBackoff,
+		Workload: t.workload.Name, Policy: policy, Requests: t.all.count, InTime: t.inTime, Late: t.late, Refused: t.refused, Failed: t.failed,
+		Shed: t.shed, Arrivals: t.arrivals, ColdRuns: t.coldRuns, Worth: t.all.mean(), WorstWindow: 1, WorstRegion: 1,
+		BusiestTarget: busiestTarget(targets), MaxShift: t.maxShift(), FinalShift: t.finalShift(),
+		Crashes: t.crashes, AfterLeaving: t.afterLeaving, DuringBackoff: t.duringBackoff,
 	}
 	for i := range t.windows {
-		if float64(t.windows[i].asked) >= minWindowShare*float64(t.all.asked)/float64(len(t.windows)) {
-			r.WorstWindow = min(r.WorstWindow, t.windows[i].part())
+		if float64(t.windows[i].count) >= minWindowShare*float64(t.all.count)/float64(len(t.windows)) {
+			r.WorstWindow = min(r.WorstWindow, t.windows[i].mean())
 		}
 	}
 	for _, e := range t.regions {
-		r.WorstRegion = min(r.WorstRegion, e.part())
+		r.WorstRegion = min(r.WorstRegion, e.mean())
 	}
-	slices.Sort(t.took)
-	if n := len(t.took); n > 0 {
-		r.Median = t.took[n/2]
-		r.P99 = t.took[n*99/100]
+	slices.Sort(t.latencies)
+	if n := len(t.latencies); n > 0 {
+		r.Median = t.latencies[n/2]
+		r.P99 = t.latencies[n*99/100]
 	}
 	return r
 }
 
-// busiest returns the most arrivals at a target that stayed, against the mean
-// of those of its region.
-func busiest(targets []*target) float64 {
-	sums := make(map[string]earned)
+// busiestTarget returns the largest number of arrivals at a target, divided by the mean of its
+// region. Removed targets are left out.
+func busiestTarget(targets []*target) float64 {
+	sums := make(map[string]average)
 	for _, t := range targets {
-		if !t.gone {
+		if !t.removed {
 			s := sums[t.region]
-			sums[t.region] = earned{asked: s.asked + 1, worth: s.worth + float64(t.arrivals)}
+			sums[t.region] = average{count: s.count + 1, sum: s.sum + float64(t.arrivals)}
 		}
 	}
-	most := 0.0
+	largest := 0.0
 	for _, t := range targets {
-		if s := sums[t.region]; !t.gone && s.worth > 0 {
-			most = max(most, float64(t.arrivals)*float64(s.asked)/s.worth)
+		if s := sums[t.region]; !t.removed && s.sum > 0 {
+			largest = max(largest, float64(t.arrivals)*float64(s.count)/s.sum)
 		}
 	}
-	return most
+	return largest
 }
--- a/internal/placement/emulation/target.go
+++ b/internal/placement/emulation/target.go
@@ -7,72 +7,72 @@
 	"masticturn/internal/config"
 )
 
-// target emulates a target: slots, a FIFO queue and an LRU cache of objects.
+// target is a simulated target with slots, a FIFO queue and an LRU cache of objects.
 type target struct {
 	name       string
 	region     string
 	slots      int
 	queueLimit int
-	remembers  int
+	cacheSize  int
 	running    int
-	waiting    []*try
-	gone       bool
-	down       bool // crashed
-	starts     int
-	leaving    bool          // announced in its answers
-	backoff    time.Duration // Retry-After of its refusals; 0: it takes requests
+	queue      []*attempt
+	removed    bool
+	down       bool // crashed and not yet restarted
+	restarts   int
+	leaving    bool          // announces in its answers that it is leaving
+	backoff    time.Duration // Retry-After of its refusals; 0: accepts requests
 	arrivals   int
 
-	known map[string]*list.Element
-	order *list.List // of objects, the one used last in front
+	cached map[string]*list.Element
+	lru    *list.List // of objects, the most recently used first
 }
 
 func newTarget(name string, region string, l *Load) *target {
-	t := &target{name: name, region: region, slots: l.Slots, queueLimit: l.QueueLimit, remembers: l.Remembers}
-	t.forget()
+	t := &target{name: name, region: region, slots: l.Slots, queueLimit: l.QueueLimit, cacheSize: l.CacheSize}
+	t.clearCache()
 	return t
 }
 
-func (t *target) forget() {
-	t.known = make(map[string]*list.Element)
-	t.order = list.New()
+func (t *target) clearCache() {
+	t.cached = make(map[string]*list.Element)
+	t.lru = list.New()
 }
 
-// use records a run for an object and reports whether the object was cached.
-func (t *target) use(object string) bool {
-	if e, ok := t.known[object]; ok {
-		t.order.MoveToFront(e)
+// accessObject looks up an object, caches it if necessary, and reports whether it was cached.
+func (t *target) accessObject(object string) bool {
+	if e, ok := t.cached[object]; ok {
+		t.lru.MoveToFront(e)
 		return true
 	}
-	t.known[object] = t.order.PushFront(object)
-	if t.order.Len() > t.remembers {
-		oldest := t.order.Back()
-		delete(t.known, oldest.Value.(string))
-		t.order.Remove(oldest)
+	t.cached[object] = t.lru.PushFront(object)
+	if t.lru.Len() > t.cacheSize {
+		oldest := t.lru.Back()
+		delete(t.cached, oldest.Value.(string))
+		t.lru.Remove(oldest)
 	}
 	return false
 }
 
-// try is one request at one target.
-type try struct {
-	req     *request
-	vm      *vm
-	target  *target
-	opening time.Duration // of its connection; 0: one was open
-	sent    time.Time
-	running bool
-	over    bool // it ended or was given up
-	place   place
+// attempt is the sending of a request to one target.
+type attempt struct {
+	req         *request
+	vm          *vm
+	target      *target
+	connectTime time.Duration // time to open a connection; 0: none was opened
+	sentAt      time.Time
+	running     bool
+	done        bool // ended or canceled
+	entry       queueEntry
 }
 
-// document returns the document with the service's targets that have not left.
-func document(l *Load, targets []*target) *config.Document {
+// buildDocument returns a document with the service and its targets that have not been removed.
+func buildDocument(l *Load, targets []*target) *config.Document {
 	doc := &config.Document{Services: []config.Service{{Name: l.Name}}}
 	for _, r := range l.Regions {
 		doc.Regions = append(doc.Regions, config.Region{Name: r.Name, Zones: []string{r.Name}})
 	}
 	for _, t := range targets {
-		if !t.gone {
+		if !t.removed {
 			doc.Services[0].Targets = append(doc.Services[0].Targets, config.Target{Name: t.name, Zone: t.region, Slots: t.slots})
 		}
 	}
