--- a/internal/command/bench_placement.go
+++ b/internal/command/bench_placement.go
@@ -27,7 +27,7 @@
 			var results []*emulation.Result
 			for _, l := range loads {
 				for _, policy := range policies {
-					results = append(results, emulation.Play(l, policy, c.Uint64(flagSeed)))
+					results = append(results, emulation.Run(l, policy, c.Uint64(flagSeed)))
 				}
 			}
 			return scenarioResult{report: results}, nil
@@ -37,20 +37,20 @@
 		&cli.Uint64Flag{Name: flagSeed, Value: 1, Usage: "seed of arrivals and service times"})
 }
 
-func placementLoads(name string) ([]*emulation.Load, error) {
+func placementLoads(name string) ([]*emulation.Workload, error) {
 	if name == allLoads {
-		return emulation.Loads(), nil
+		return emulation.Workloads(), nil
 	}
-	l := emulation.LoadNamed(name)
+	l := emulation.WorkloadByName(name)
 	if l == nil {
 		return nil, usageError(trace.BadParameter("--%s %s: known are %s, %s", flagLoad, name, placementLoadNames(), allLoads))
 	}
-	return []*emulation.Load{l}, nil
+	return []*emulation.Workload{l}, nil
 }
 
 func placementLoadNames() string {
 	var names []string
-	for _, l := range slices.Concat(emulation.Loads(), emulation.GrownLoads(), emulation.ShiftedLoads()) {
+	for _, l := range slices.Concat(emulation.Workloads(), emulation.GrownWorkloads(), emulation.ShiftedWorkloads()) {
 		names = append(names, l.Name)
 	}
 	return joined(names)
--- a/internal/placement/emulation/emulation_test.go
+++ b/internal/placement/emulation/emulation_test.go
@@ -15,10 +15,10 @@
 // meanResult holds means over the runs of several seeds.
 type meanResult struct{ worth, window, region, shed, cold float64 }
 
-func runSeeds(l *Load, policy placement.Policy, seeds int) meanResult {
+func runSeeds(w *Workload, policy placement.Policy, seeds int) meanResult {
 	var f meanResult
 	for seed := range seeds {
-		r := Play(l, policy, uint64(seed+1))
+		r := Run(w, policy, uint64(seed+1))
 		f.worth += r.Worth / float64(seeds)
 		f.window += r.WorstWindow / float64(seeds)
 		f.region += r.WorstRegion / float64(seeds)
@@ -31,13 +31,13 @@
 // The default policy must achieve more worth than every other policy on each workload, overall and
 // in the worst region.
 func TestCompletionBeatsOtherPolicies(t *testing.T) {
-	for _, l := range Loads() {
-		t.Run(l.Name, func(t *testing.T) {
+	for _, w := range Workloads() {
+		t.Run(w.Name, func(t *testing.T) {
 			t.Parallel()
-			l.Length /= 2 // a cold start, targets that leave and a burst
-			best := runSeeds(l, placement.PolicyCompletion, comparisonSeeds)
+			w.Length /= 2 // a cold start, targets that leave and a burst
+			best := runSeeds(w, placement.PolicyCompletion, comparisonSeeds)
 			for _, policy := range placement.Policies()[1:] {
-				other := runSeeds(l, policy, comparisonSeeds)
+				other := runSeeds(w, policy, comparisonSeeds)
 				if best.worth < other.worth+0.05 {
 					t.Errorf("worth %.3f, want 0.05 more than %s with %.3f", best.worth, policy, other.worth)
 				}
@@ -63,7 +63,7 @@
 	for name, want := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got := runSeeds(LoadNamed(name), placement.PolicyCompletion, thresholdSeeds)
+			got := runSeeds(WorkloadByName(name), placement.PolicyCompletion, thresholdSeeds)
 			if got.worth < want.worth || got.window < want.window || got.region < want.region {
 				t.Errorf("worth %.3f, in the worst window %.3f, in the worst region %.3f; want %.2f, %.2f, %.2f at least",
 					got.worth, got.window, got.region, want.worth, want.window, want.region)
@@ -83,11 +83,11 @@
 	grown.Length /= 8
 	large := largeArchiveReads()
 	large.Length /= 4
-	for _, l := range []*Load{ArchiveReads(), ProofListens(), grown, large} {
-		t.Run(l.Name, func(t *testing.T) {
+	for _, w := range []*Workload{ArchiveReads(), ProofListens(), grown, large} {
+		t.Run(w.Name, func(t *testing.T) {
 			t.Parallel()
-			with := runSeeds(l, placement.PolicyCompletion, comparisonSeeds)
-			noReports := *l
+			with := runSeeds(w, placement.PolicyCompletion, comparisonSeeds)
+			noReports := *w
 			noReports.NoReports = true
 			without := runSeeds(&noReports, placement.PolicyCompletion, comparisonSeeds)
 			if with.worth < without.worth+gain || with.region < without.region+gain {
@@ -105,19 +105,19 @@
 // object don't depend on the load.
 func TestRegionsStaySteady(t *testing.T) {
 	t.Parallel()
-	l := grownPlanReads()
-	l.Length /= 3
-	if r := Play(l, placement.PolicyCompletion, 1); r.MaxShift > 0.12 {
+	w := grownPlanReads()
+	w.Length /= 3
+	if r := Run(w, placement.PolicyCompletion, 1); r.MaxShift > 0.12 {
 		t.Errorf("%.3f of a region's requests moved between regions within two seconds, want 0.12 at most", r.MaxShift)
 	}
 }
 
 // The same seed must give the same result, and every request must have exactly one outcome.
 func TestRunsAreDeterministic(t *testing.T) {
-	l := ArchiveReads()
-	l.Length /= 4
+	w := ArchiveReads()
+	w.Length /= 4
 	for _, policy := range placement.Policies() {
-		a, b := Play(l, policy, 7), Play(l, policy, 7)
+		a, b := Run(w, policy, 7), Run(w, policy, 7)
 		if *a != *b {
 			t.Errorf("%s: two runs with the same seed differ: %+v, %+v", policy, a, b)
 		}
@@ -129,7 +129,7 @@
 
 // A target must cache its most recently used objects.
 func TestTargetCacheEvictsLeastRecentlyUsed(t *testing.T) {
-	target := newTarget("t", "r", &Load{Slots: 1, CacheSize: 2})
+	target := newTarget("t", "r", &Workload{Slots: 1, CacheSize: 2})
 	steps := []struct {
 		object string
 		cached bool
--- a/internal/placement/emulation/requests.go
+++ b/internal/placement/emulation/requests.go
@@ -13,19 +13,19 @@
 // scheduleArrival schedules the next request of a region's callers. Arrivals are a Poisson
 // process whose rate follows the region's wave.
 func (s *simulation) scheduleArrival(region int) {
-	l := s.workload
+	w := s.workload
 	at := s.now.Sub(startTime)
-	phase := float64(at)/float64(l.Period) + float64(region)/float64(len(l.Regions))
-	rate := l.Rate / float64(len(l.Regions)) * s.rateFactor * (1 + l.Amplitude*math.Sin(2*math.Pi*phase))
+	phase := float64(at)/float64(w.Period) + float64(region)/float64(len(w.Regions))
+	rate := w.Rate / float64(len(w.Regions)) * s.rateFactor * (1 + w.Amplitude*math.Sin(2*math.Pi*phase))
 	gap := time.Duration(s.rng.ExpFloat64() / rate * float64(time.Second))
-	if at+gap > l.Length {
+	if at+gap > w.Length {
 		return
 	}
 	s.after(gap, func() {
-		q := s.newRequest(l.Regions[region].Name)
-		q.object = fmt.Sprintf("%s-%d", q.region, s.rng.IntN(l.Objects))
+		q := s.newRequest(w.Regions[region].Name)
+		q.object = fmt.Sprintf("%s-%d", q.region, s.rng.IntN(w.Objects))
 		s.tally.recordRequest(q)
-		s.after(l.Deadline, func() { s.expire(q) })
+		s.after(w.Deadline, func() { s.expire(q) })
 		s.arriveAtVM(q)
 		s.scheduleArrival(region)
 	})
@@ -54,30 +54,30 @@
 }
 
 func (s *simulation) enqueue(q *request) {
-	w := q.vm.pool.Enqueue(&placement.Request{
+	e := q.vm.pool.Enqueue(&placement.Request{
 		Key:      q.object,
 		Rule:     &config.Rule{ObjectiveMS: config.Millis(s.workload.Objective.Milliseconds())},
 		Exclude:  q.exclude,
 		Arrived:  q.arrivedAt,
 		Deadline: q.sentAt.Add(s.workload.Deadline),
 	}, s.now)
-	q.entry = w
-	if w.Refused != nil {
+	q.entry = e
+	if e.Refused != nil {
 		s.handleRefusal(q)
 		return
 	}
-	q.vm.queued[w] = q
+	q.vm.queued[e] = q
 	s.serve(q.vm)
 }
 
 // serve places or refuses a VM's queued requests. It reschedules itself while requests remain
 // queued.
 func (s *simulation) serve(v *vm) {
-	for _, w := range v.pool.Serve(s.now) {
-		q := v.queued[w]
-		delete(v.queued, w)
-		if w.Selected != nil {
-			s.send(q, w)
+	for _, e := range v.pool.Serve(s.now) {
+		q := v.queued[e]
+		delete(v.queued, e)
+		if e.Selected != nil {
+			s.send(q, e)
 		} else {
 			s.handleRefusal(q)
 		}
@@ -112,11 +112,11 @@
 }
 
 // send sends a request to the selected target.
-func (s *simulation) send(q *request, w queueEntry) {
+func (s *simulation) send(q *request, e queueEntry) {
 	q.attempts++
-	t := s.targetsByName[w.Selected.Target().Name]
+	t := s.targetsByName[e.Selected.Target().Name]
 	connectTime := s.connectTime(q.vm, t)
-	a := &attempt{req: q, vm: q.vm, target: t, connectTime: connectTime, sentAt: s.now.Add(connectTime), entry: w}
+	a := &attempt{req: q, vm: q.vm, target: t, connectTime: connectTime, sentAt: s.now.Add(connectTime), entry: e}
 	q.attempt = a
 	s.inFlight[a] = true
 	s.after(connectTime+s.delay(q.region, t.region), func() { s.arriveAtTarget(a) })
--- a/internal/placement/emulation/simulation.go
+++ b/internal/placement/emulation/simulation.go
@@ -64,7 +64,7 @@
 
 // simulation is the state of one run of a workload.
 type simulation struct {
-	workload      *Load
+	workload      *Workload
 	policy        placement.Policy
 	rng           *rand.Rand
 	now           time.Time
@@ -83,10 +83,10 @@
 // startTime is the simulated time at which every run begins.
 var startTime = time.Unix(1_000_000, 0)
 
-// Play simulates a workload with a policy. The same seed gives the same result.
-func Play(l *Load, policy placement.Policy, seed uint64) *Result {
+// Run simulates a workload with a policy. The same seed gives the same result.
+func Run(w *Workload, policy placement.Policy, seed uint64) *Result {
 	s := &simulation{
-		workload:      l,
+		workload:      w,
 		policy:        policy,
 		rng:           rand.New(rand.NewPCG(seed, 1)),
 		now:           startTime,
@@ -94,16 +94,16 @@
 		vmsByName:     make(map[string]*vm),
 		inFlight:      make(map[*attempt]bool),
 		rateFactor:    1,
-		tally:         newTally(l),
+		tally:         newTally(w),
 	}
 	s.build()
-	for _, e := range l.Events {
+	for _, e := range w.Events {
 		s.after(e.At, func() { s.applyEvent(e) })
 	}
-	for i := range l.Regions {
+	for i := range w.Regions {
 		s.scheduleArrival(i)
 	}
-	for _, c := range l.CrashRequests {
+	for _, c := range w.CrashRequests {
 		s.scheduleCrashRequests(&crashRequest{CrashRequest: c})
 	}
 	for _, v := range s.vms {
--- a/internal/placement/emulation/stop_test.go
+++ b/internal/placement/emulation/stop_test.go
@@ -15,7 +15,7 @@
 func TestCallersThatStopShowNoShift(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 4; seed++ {
-		r := Play(callersThatStop(), placement.PolicyCompletion, seed)
+		r := Run(callersThatStop(), placement.PolicyCompletion, seed)
 		if r.FinalShift > maxShiftAllowed {
 			t.Errorf("seed %d: at least %.2f of a region's requests moved between regions when callers stopped, want %.2f at most",
 				seed, r.FinalShift, maxShiftAllowed)
--- a/internal/placement/emulation/tally.go
+++ b/internal/placement/emulation/tally.go
@@ -33,7 +33,7 @@
 
 // tally collects the data for a Result.
 type tally struct {
-	workload  *Load
+	workload  *Workload
 	all       average
 	windows   []average
 	regions   map[string]*average
@@ -62,22 +62,22 @@
 
 // recordArrival counts arrivals that the target's earlier notices should have prevented.
 func (t *tally) recordArrival(a *attempt, now time.Time) {
-	w := vmTarget{a.vm, a.target}
-	if at, ok := t.leavingSince[w]; ok && a.sentAt.After(at) {
+	key := vmTarget{a.vm, a.target}
+	if at, ok := t.leavingSince[key]; ok && a.sentAt.After(at) {
 		t.afterLeaving++
 	}
-	if a.sentAt.Before(t.backoffUntil[w]) {
+	if a.sentAt.Before(t.backoffUntil[key]) {
 		t.duringBackoff++
 	}
 }
 
-func newTally(l *Load) tally {
-	windows := int(l.Length/windowLength) + 1
+func newTally(w *Workload) tally {
+	windows := int(w.Length/windowLength) + 1
 	t := tally{
-		workload: l, regions: make(map[string]*average), windows: make([]average, windows), runs: make(map[string][]map[string]int),
+		workload: w, regions: make(map[string]*average), windows: make([]average, windows), runs: make(map[string][]map[string]int),
 		leavingSince: make(map[vmTarget]time.Time), backoffUntil: make(map[vmTarget]time.Time),
 	}
-	for _, r := range l.Regions {
+	for _, r := range w.Regions {
 		t.regions[r.Name] = &average{}
 		t.runs[r.Name] = make([]map[string]int, windows)
 		for i := range windows {
--- a/internal/placement/emulation/target.go
+++ b/internal/placement/emulation/target.go
@@ -27,8 +27,8 @@
 	lru    *list.List // of objects, the most recently used first
 }
 
-func newTarget(name string, region string, l *Load) *target {
-	t := &target{name: name, region: region, slots: l.Slots, queueLimit: l.QueueLimit, cacheSize: l.CacheSize}
+func newTarget(name string, region string, w *Workload) *target {
+	t := &target{name: name, region: region, slots: w.Slots, queueLimit: w.QueueLimit, cacheSize: w.CacheSize}
 	t.clearCache()
 	return t
 }
@@ -66,9 +66,9 @@
 }
 
 // buildDocument returns a document with the service and its targets that have not been removed.
-func buildDocument(l *Load, targets []*target) *config.Document {
-	doc := &config.Document{Services: []config.Service{{Name: l.Name}}}
-	for _, r := range l.Regions {
+func buildDocument(w *Workload, targets []*target) *config.Document {
+	doc := &config.Document{Services: []config.Service{{Name: w.Name}}}
+	for _, r := range w.Regions {
 		doc.Regions = append(doc.Regions, config.Region{Name: r.Name, Zones: []string{r.Name}})
 	}
 	for _, t := range targets {
--- a/internal/placement/emulation/workload.go
+++ b/internal/placement/emulation/workload.go
@@ -10,8 +10,8 @@
 	"masticturn/internal/placement"
 )
 
-// Load describes a service, the fleet that serves it and its callers' requests.
-type Load struct {
+// Workload describes a service, the fleet that serves it and its callers' requests.
+type Workload struct {
 	Name    string
 	Regions []Region
 	// OneWay is the one-way network delay between regions, WithinRegion that within a region.
--- a/internal/placement/emulation/workloads.go
+++ b/internal/placement/emulation/workloads.go
@@ -12,24 +12,24 @@
 	withinRegion  = time.Millisecond
 )
 
-// Loads returns the workloads for comparing policies. They are modelled on the services of the
-// two deployments on their busiest days. Simulating one takes about 0.1 s, one of GrownLoads
+// Workloads returns the workloads for comparing policies. They are modelled on the services of the
+// two deployments on their busiest days. Simulating one takes about 0.1 s, one of GrownWorkloads
 // some seconds.
-func Loads() []*Load {
-	return []*Load{PlanReads(), HoldConfirms(), ArchiveReads(), ScriptReads(), Bookings(), ProofListens()}
+func Workloads() []*Workload {
+	return []*Workload{PlanReads(), HoldConfirms(), ArchiveReads(), ScriptReads(), Bookings(), ProofListens()}
 }
 
 // LargeWorkloads returns workloads modelled on the services of the largest deployment, and on a
 // scaled-down variant of it with fewer VMs, targets and requests but as many objects.
-func LargeWorkloads() []*Load {
-	return []*Load{largePlanReads(), largeArchiveReads(), sparsePlanReads()}
+func LargeWorkloads() []*Workload {
+	return []*Workload{largePlanReads(), largeArchiveReads(), sparsePlanReads()}
 }
 
-// LoadNamed returns the workload with a name, or nil if there is none.
-func LoadNamed(name string) *Load {
-	for _, l := range slices.Concat(Loads(), GrownLoads(), LargeWorkloads(), ShiftedLoads()) {
-		if l.Name == name {
-			return l
+// WorkloadByName returns the workload with a name, or nil if there is none.
+func WorkloadByName(name string) *Workload {
+	for _, w := range slices.Concat(Workloads(), GrownWorkloads(), LargeWorkloads(), ShiftedWorkloads()) {
+		if w.Name == name {
+			return w
 		}
 	}
 	return nil
@@ -64,8 +64,8 @@
 }
 
 // PlanReads has many short reads of many objects.
-func PlanReads() *Load {
-	return &Load{
+func PlanReads() *Workload {
+	return &Workload{
 		Name: "plan-reads", Regions: estibaRegions(6, 2, 6), OneWay: estibaOneWay, WithinRegion: withinRegion,
 		Slots: 5, QueueLimit: 15, CacheSize: 49, Objects: 55,
 		ColdRunTime: 360 * time.Millisecond, RunTimeVariation: 0.15, CachedFactor: 0.3,
@@ -75,8 +75,8 @@
 }
 
 // HoldConfirms has requests that must not be repeated, and few slots.
-func HoldConfirms() *Load {
-	return &Load{
+func HoldConfirms() *Workload {
+	return &Workload{
 		Name: "hold-confirms", Regions: estibaRegions(6, 2, 4), OneWay: estibaOneWay, WithinRegion: withinRegion,
 		Slots: 3, QueueLimit: 9, CacheSize: 25, Objects: 24,
 		ColdRunTime: 480 * time.Millisecond, RunTimeVariation: 0.15, CachedFactor: 0.3,
@@ -87,8 +87,8 @@
 
 // ArchiveReads has long reads near the targets' capacity: they need 70 to 90 % of the slots if
 // all objects are cached, and 2.5 times the slots if none are.
-func ArchiveReads() *Load {
-	return &Load{
+func ArchiveReads() *Workload {
+	return &Workload{
 		Name: "archive-reads", Regions: estibaRegions(6, 2, 4), OneWay: estibaOneWay, WithinRegion: withinRegion,
 		Slots: 3, QueueLimit: 9, CacheSize: 25, Objects: 24,
 		ColdRunTime: 1440 * time.Millisecond, RunTimeVariation: 0.15, CachedFactor: 0.3,
@@ -98,8 +98,8 @@
 }
 
 // ScriptReads has reads that always miss the objective if the object is not cached.
-func ScriptReads() *Load {
-	return &Load{
+func ScriptReads() *Workload {
+	return &Workload{
 		Name: "script-reads", Regions: lydsporRegions(2, 4, 6), OneWay: lydsporOneWay, WithinRegion: withinRegion,
 		Slots: 3, QueueLimit: 9, CacheSize: 25, Objects: 24,
 		ColdRunTime: 480 * time.Millisecond, RunTimeVariation: 0.15, CachedFactor: 0.3,
@@ -109,8 +109,8 @@
 }
 
 // Bookings has requests that must not be repeated, and spare capacity.
-func Bookings() *Load {
-	return &Load{
+func Bookings() *Workload {
+	return &Workload{
 		Name: "bookings", Regions: lydsporRegions(2, 4, 6), OneWay: lydsporOneWay, WithinRegion: withinRegion,
 		Slots: 3, QueueLimit: 9, CacheSize: 25, Objects: 24,
 		ColdRunTime: 640 * time.Millisecond, RunTimeVariation: 0.15, CachedFactor: 0.3,
@@ -120,8 +120,8 @@
 }
 
 // ProofListens has the longest reads of these workloads.
-func ProofListens() *Load {
-	return &Load{
+func ProofListens() *Workload {
+	return &Workload{
 		Name: "proof-listens", Regions: lydsporRegions(2, 4, 6), OneWay: lydsporOneWay, WithinRegion: withinRegion,
 		Slots: 3, QueueLimit: 9, CacheSize: 25, Objects: 24,
 		ColdRunTime: 1920 * time.Millisecond, RunTimeVariation: 0.15, CachedFactor: 0.3,
@@ -130,15 +130,15 @@
 	}
 }
 
-// GrownLoads returns workloads modelled on the services of the two deployments with eight times
+// GrownWorkloads returns workloads modelled on the services of the two deployments with eight times
 // as many VMs.
-func GrownLoads() []*Load {
-	return []*Load{grownPlanReads(), grownScriptReads(), grownProofListens()}
+func GrownWorkloads() []*Workload {
+	return []*Workload{grownPlanReads(), grownScriptReads(), grownProofListens()}
 }
 
 // grownPlanReads is PlanReads at eight times the size, with longer run times.
-func grownPlanReads() *Load {
-	return &Load{
+func grownPlanReads() *Workload {
+	return &Workload{
 		Name: "plan-reads-grown", OneWay: estibaOneWay, WithinRegion: withinRegion,
 		Regions: []Region{{"rosario", 28, 86}, {"bahia-blanca", 25, 18}, {"buenos-aires", 30, 72}},
 		Slots:   4, QueueLimit: 12, CacheSize: 23, Objects: 320,
@@ -151,21 +151,21 @@
 // callersThatStop has all requests of the grown deployment at two fifths of its usual rate,
 // without events, until all callers stop near the peak of bahia-blanca's wave. All requests may
 // be repeated.
-func callersThatStop() *Load {
-	l := grownPlanReads()
-	l.Name = "callers-that-stop"
-	l.Regions = []Region{{"rosario", 28, 182}, {"bahia-blanca", 25, 38}, {"buenos-aires", 30, 152}}
-	l.Objects = 700
-	l.Rate = 900
-	l.Events = nil
-	l.Length = 30 * time.Second
-	l.ModelConnections = true
-	return l
+func callersThatStop() *Workload {
+	w := grownPlanReads()
+	w.Name = "callers-that-stop"
+	w.Regions = []Region{{"rosario", 28, 182}, {"bahia-blanca", 25, 38}, {"buenos-aires", 30, 152}}
+	w.Objects = 700
+	w.Rate = 900
+	w.Events = nil
+	w.Length = 30 * time.Second
+	w.ModelConnections = true
+	return w
 }
 
 // grownScriptReads is ScriptReads at ten times the size.
-func grownScriptReads() *Load {
-	return &Load{
+func grownScriptReads() *Workload {
+	return &Workload{
 		Name: "script-reads-grown", OneWay: lydsporOneWay, WithinRegion: withinRegion,
 		Regions: []Region{{"dk-aarhus", 29, 46}, {"de-frankfurt", 29, 92}, {"se-stockholm", 29, 138}},
 		Slots:   3, QueueLimit: 9, CacheSize: 16, Objects: 291,
@@ -176,8 +176,8 @@
 }
 
 // grownProofListens is ProofListens at eight times the size.
-func grownProofListens() *Load {
-	return &Load{
+func grownProofListens() *Workload {
+	return &Workload{
 		Name: "proof-listens-grown", OneWay: lydsporOneWay, WithinRegion: withinRegion,
 		Regions: []Region{{"dk-aarhus", 29, 37}, {"de-frankfurt", 29, 73}, {"se-stockholm", 29, 109}},
 		Slots:   3, QueueLimit: 9, CacheSize: 8, Objects: 57,
@@ -188,8 +188,8 @@
 }
 
 // largePlanReads has reads of many objects at hundreds of targets.
-func largePlanReads() *Load {
-	return &Load{
+func largePlanReads() *Workload {
+	return &Workload{
 		Name: "plan-reads-large", OneWay: estibaOneWay, WithinRegion: withinRegion,
 		Regions: []Region{{"rosario", 67, 231}, {"bahia-blanca", 60, 48}, {"buenos-aires", 68, 192}},
 		Slots:   5, QueueLimit: 15, CacheSize: 14, Objects: 352,
@@ -200,8 +200,8 @@
 }
 
 // largeArchiveReads has the longest reads of the largest deployment.
-func largeArchiveReads() *Load {
-	return &Load{
+func largeArchiveReads() *Workload {
+	return &Workload{
 		Name: "archive-reads-large", OneWay: estibaOneWay, WithinRegion: withinRegion,
 		Regions: []Region{{"rosario", 67, 135}, {"bahia-blanca", 60, 27}, {"buenos-aires", 68, 111}},
 		Slots:   5, QueueLimit: 15, CacheSize: 8, Objects: 100,
@@ -212,11 +212,11 @@
 }
 
 // sparsePlanReads has infrequent reads of more objects than the targets can cache.
-func sparsePlanReads() *Load {
-	l := largePlanReads()
-	l.Name = "plan-reads-sparse"
-	l.Regions = []Region{{"rosario", 9, 24}, {"bahia-blanca", 9, 6}, {"buenos-aires", 9, 21}}
-	l.Rate = 64
-	l.Events = nil
-	return l
+func sparsePlanReads() *Workload {
+	w := largePlanReads()
+	w.Name = "plan-reads-sparse"
+	w.Regions = []Region{{"rosario", 9, 24}, {"bahia-blanca", 9, 6}, {"buenos-aires", 9, 21}}
+	w.Rate = 64
+	w.Events = nil
+	return w
 }
