--- a/internal/confsync/events.go
+++ b/internal/confsync/events.go
@@ -21,7 +21,7 @@
 		Level:   logrus.InfoLevel,
 		Name:    "stale document ignored",
 		Meaning: "The platform's store answered with a lower generation than the one in force here. The answer was ignored.",
-		Action:  "None if it is rare. If it lasts, the store has lost writes: apply the document again from the fleet's generation.",
+		Action:  "None if it is rare. If it persists, the store has lost writes: apply the document again from the fleet's generation.",
 	})
 	eventUnreadable = telemetry.Register(telemetry.Event{
 		Number:  eventBase + 2,
@@ -30,7 +30,7 @@
 		Meaning: "A document of a higher generation arrived damaged, or this build cannot read it. The one in force stays.",
 		Action:  "Compare the builds of the VMs; upgrade the one that reports this.",
 	})
-	eventDisputed = telemetry.Register(telemetry.Event{
+	eventConflict = telemetry.Register(telemetry.Event{
 		Number:  eventBase + 3,
 		Level:   logrus.ErrorLevel,
 		Name:    "two documents of one generation",
@@ -41,14 +41,14 @@
 		Number:  eventBase + 4,
 		Level:   logrus.WarnLevel,
 		Name:    "store does not answer for the document",
-		Meaning: "A VM that watches the document in the store got no answer. The document in force stays; peers spread what any of them learns.",
-		Action:  "Look at the platform's store.",
+		Meaning: "A VM that watches the document in the store got no answer. The document in force stays; daemons still distribute higher generations among themselves.",
+		Action:  "Check the platform's store.",
 	})
-	eventStoreBack = telemetry.Register(telemetry.Event{
+	eventStoreRecovered = telemetry.Register(telemetry.Event{
 		Number:  eventBase + 5,
 		Level:   logrus.InfoLevel,
 		Name:    "store answers again for the document",
-		Meaning: "The watch of the document goes on.",
+		Meaning: "Watching the document has resumed.",
 		Action:  "None.",
 	})
 	eventWatcher = telemetry.Register(telemetry.Event{
@@ -58,11 +58,11 @@
 		Meaning: "This VM is one of the two of its region that watch the document in the store.",
 		Action:  "None.",
 	})
-	eventAway = telemetry.Register(telemetry.Event{
+	eventPaused = telemetry.Register(telemetry.Event{
 		Number:  eventBase + 7,
 		Level:   logrus.WarnLevel,
 		Name:    "process was paused",
 		Meaning: "This process did not run for some seconds. It is not ready until the store or a peer has confirmed the document.",
-		Action:  "Look at the VM: steal time, memory pressure, migration.",
+		Action:  "Check the VM for steal time, memory pressure or migration.",
 	})
 )
--- a/internal/confsync/faults_adopt_test.go
+++ b/internal/confsync/faults_adopt_test.go
@@ -11,9 +11,9 @@
 	"masticturn/internal/peer/peertest"
 )
 
-// TestPauseAtEachStepIsConfirmed lets the process stand still at each step of
-// watching and asking, while the others go on to generation 2; the answers of
-// calls that were under way come after the pause, and are old.
+// TestPauseAtEachStepIsConfirmed pauses the process in each state of watching and fetching while
+// the other daemons adopt generation 2. Calls that were in progress return stale results after the
+// pause.
 func TestPauseAtEachStepIsConfirmed(t *testing.T) {
 	for _, watch := range WatchSteps() {
 		for _, fetch := range FetchSteps() {
@@ -22,26 +22,26 @@
 				c := newCore(member(1), 1)
 				c.onStart(now)
 				c.onView(now, &membership.View{Version: 1, Members: []membership.Member{member(1), member(2)}})
-				c.onHead(now, testHeld(1, 1), 1, nil)
-				c.onFetched(now, testHeld(1, 1), nil)
-				if err := c.whyNotReady(); err != nil {
+				c.onHead(now, testDocument(1, 1), 1, nil)
+				c.onFetched(now, testDocument(1, 1), nil)
+				if err := c.readyError(); err != nil {
 					t.Fatal(err)
 				}
 				c.watch.step, c.fetch.step = watch, fetch
-				now = now.Add(awayAfter + time.Second)
+				now = now.Add(pauseThreshold + time.Second)
 				c.onTick(now)
-				if c.whyNotReady() == nil {
+				if c.readyError() == nil {
 					t.Fatal("ready right after the pause")
 				}
 				if watch == WatchWaiting {
 					c.onWatch(now, nil, 1, nil)
 				} else {
-					c.onHead(now, testHeld(1, 1), 1, nil)
+					c.onHead(now, testDocument(1, 1), 1, nil)
 				}
 				c.onFetched(now, nil, errors.New("timeout"))
-				c.onFetched(now, testHeld(2, 2), nil)
-				c.onHead(now, testHeld(1, 1), 1, nil)
-				if err := c.whyNotReady(); err != nil || c.cur.generation() != 2 {
+				c.onFetched(now, testDocument(2, 2), nil)
+				c.onHead(now, testDocument(1, 1), 1, nil)
+				if err := c.readyError(); err != nil || c.cur.generation() != 2 {
 					t.Errorf("generation %d, %v", c.cur.generation(), err)
 				}
 			})
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestAskingUnderFaults starts a daemon that can learn of the document from
-// peers alone, while those that it asks fail it.
+// TestAskingUnderFaults starts a daemon during a store outage, so that it depends on peers, while
+// the peers that it queries are slow, crashed or paused.
 func TestAskingUnderFaults(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -59,7 +59,7 @@
 		{"delay", func(f *fleet) {
 			f.hub.SetFault(peertest.Any, "vm-90", peertest.Fault{Delay: 200 * time.Millisecond})
 		}},
-		{"crash of those asked", func(f *fleet) {
+		{"crash of the queried peers", func(f *fleet) {
 			time.Sleep(time.Millisecond)
 			for _, d := range f.alive() {
 				if d.member.Region == "region-0" && d.member.Name != "vm-90" {
@@ -67,7 +67,7 @@
 				}
 			}
 		}},
-		{"pause of those asked", func(f *fleet) {
+		{"pause of the queried peers", func(f *fleet) {
 			for _, d := range f.alive()[:6] {
 				f.hub.Pause(d.member.Name)
 			}
@@ -76,12 +76,12 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := settled(t)
-				f.settle(f.apply(f.daemons[1]), inForceMax)
+				f := newSettledFleet(t)
+				f.waitInForce(f.apply(f.daemons[1]), inForceMax)
 				f.store.SetOutage(true)
 				f.start("vm-90", "region-0")
 				tt.fault(f)
-				f.settle(2, maxBootWait)
+				f.waitInForce(2, maxInitialBackoff)
 				for _, d := range f.daemons {
 					f.hub.Resume(d.member.Name)
 				}
--- a/internal/confsync/fetch.go
+++ b/internal/confsync/fetch.go
@@ -8,51 +8,50 @@
 	"masticturn/internal/rendezvous"
 )
 
-// FetchStep is a step of asking peers for a document.
+// FetchStep is a state of fetching a document from peers.
 type FetchStep uint8
 
-// The steps of asking peers for a document.
+// The states of fetching a document from peers.
 const (
-	FetchIdle    FetchStep = iota // nothing higher is known
-	FetchPending                  // waiting for a push, or before the next peer
-	FetchAsking                   // a call to a peer is under way
+	FetchIdle    FetchStep = iota // no higher generation is known
+	FetchPending                  // waiting for a push or for the next attempt
+	FetchAsking                   // a call to a peer is in progress
 )
 
-// String returns the name used in tests.
+// String returns the name of the state.
 func (s FetchStep) String() string { return [...]string{"idle", "pending", "asking"}[s] }
 
-// FetchSteps returns all steps.
+// FetchSteps returns all states.
 func FetchSteps() []FetchStep { return []FetchStep{FetchIdle, FetchPending, FetchAsking} }
 
-// fetchState is the state of asking peers for a document. At most one call is
-// under way at any time.
+// fetchState is the state of fetching from peers. At most one call is in progress at any time.
 type fetchState struct {
-	step    FetchStep
-	startAt time.Time       // end of FetchPending
-	asked   map[string]bool // peers asked for the generation wanted, or since start
-	rounds  int             // times that all who might have it were asked in vain
-	tried   int             // calls answered or failed since start or pause
-	peer    string          // peer being asked
-
-	hint     string // peer that gave notice of a higher generation
+	step         FetchStep
+	startAt      time.Time       // end of FetchPending
+	asked        map[string]bool // peers queried in this round; nil at its start
+	failedRounds int             // rounds in which all candidates were tried without success
+	callsEnded   int             // calls that were answered or failed since start or pause
+	peer         string          // peer of the call in progress
+
+	hintPeer string // peer that announced a higher generation
 	hintGen  config.Generation
-	hintRoot string // root for which it was passed on; "" when it came from another region
+	hintRoot string // root of the tree it was announced in; "" if it came from another region or a repair
 }
 
-// startOver forgets who was asked.
-func (f *fetchState) startOver() {
+// resetAsked clears the record of peers already queried.
+func (f *fetchState) resetAsked() {
 	f.asked = nil
-	f.rounds = 0
+	f.failedRounds = 0
 }
 
-// retryWait is the wait after a peer that did not help.
-func (f *fetchState) retryWait() time.Duration {
-	const doublings = 8 // enough to reach the bound
-	return min(fetchRetry<<min(f.rounds, doublings), maxFetchRetry)
+// retryDelay returns the delay before the next fetch after all candidates have been tried.
+func (f *fetchState) retryDelay() time.Duration {
+	const doublings = 8 // enough to reach maxFetchRetryDelay
+	return min(fetchRetryDelay<<min(f.failedRounds, doublings), maxFetchRetryDelay)
 }
 
-// others returns the members besides this daemon.
-func (c *core) others() []membership.Member {
+// peers returns all members except this daemon.
+func (c *core) peers() []membership.Member {
 	var out []membership.Member
 	for _, m := range c.view.Members {
 		if m.Name != c.self.Name {
@@ -62,8 +61,9 @@
 	return out
 }
 
-// bestAdvertised returns a member with the highest generation, nil when none has a higher one than this daemon.
-func (c *core) bestAdvertised() *membership.Member {
+// newestPeer returns a member with the highest advertised generation, or nil if none is higher than
+// that of this daemon.
+func (c *core) newestPeer() *membership.Member {
 	var best *membership.Member
 	for i := range c.view.Members {
 		m := &c.view.Members[i]
@@ -77,11 +77,11 @@
 	return best
 }
 
-// considerFetch starts to fetch when a peer has what this daemon lacks, or
-// when it has no document at all.
-func (c *core) considerFetch(now time.Time) {
-	c.findDisputes()
-	if c.fetch.step != FetchIdle || !c.wantsFetch() {
+// scheduleFetch schedules a fetch if a peer has a higher generation, or if this daemon is still
+// starting.
+func (c *core) scheduleFetch(now time.Time) {
+	c.findConflicts()
+	if c.fetch.step != FetchIdle || !c.needsFetch() {
 		return
 	}
 	c.fetch.step = FetchPending
@@ -91,66 +91,66 @@
 	}
 }
 
-func (c *core) wantsFetch() bool {
+func (c *core) needsFetch() bool {
 	if c.knowsHigher() {
 		return true
 	}
-	return c.starting() && len(c.others()) > 0
+	return c.isStarting() && len(c.peers()) > 0
 }
 
-// starting reports whether this daemon has yet to receive any peer's document.
-func (c *core) starting() bool {
-	return !c.ready && !c.peerAnswered && (c.cur == nil || c.fetch.tried < enoughPeers)
+// isStarting reports whether this daemon is not ready and still has to query peers for their
+// document.
+func (c *core) isStarting() bool {
+	return !c.ready && !c.peerAnswered && (c.cur == nil || c.fetch.callsEnded < minPeersAsked)
 }
 
-// findDisputes looks for members with another document of the generation in
-// force. The hash of daemons far away is not known here and counts as equal.
-func (c *core) findDisputes() {
-	for _, m := range c.others() {
+// findConflicts looks for members that advertise a different document of the generation in force. A
+// hash of 0 is unknown, as for members of distant regions, and is no conflict.
+func (c *core) findConflicts() {
+	for _, m := range c.peers() {
 		if c.cur != nil && config.Generation(m.Generation) == c.cur.generation() && m.Hash != 0 && m.Hash != c.cur.hash() {
-			c.dispute(c.cur.generation(), m.Name)
+			c.onConflict(c.cur.generation(), m.Name)
 		}
 	}
 }
 
-// tickFetch asks the next peer when it is time.
+// tickFetch fetches from the next peer once the delay has passed.
 func (c *core) tickFetch(now time.Time) {
 	if c.fetch.step != FetchPending || now.Before(c.fetch.startAt) {
 		return
 	}
-	if !c.wantsFetch() {
+	if !c.needsFetch() {
 		c.fetch.step = FetchIdle
-		c.fetch.startOver()
+		c.fetch.resetAsked()
 		return
 	}
-	target := c.nextToAsk()
-	if target == "" {
-		c.fetch.asked = nil // begin again with the first
+	next := c.nextPeer()
+	if next == "" {
+		c.fetch.asked = nil // start a new round
 		c.fetch.hintGen = 0
-		c.fetch.startAt = now.Add(c.fetch.retryWait())
-		c.fetch.rounds++
+		c.fetch.startAt = now.Add(c.fetch.retryDelay())
+		c.fetch.failedRounds++
 		return
 	}
 	c.fetch.step = FetchAsking
-	c.fetch.peer = target
-	c.emit(fetchFrom{peer: target})
+	c.fetch.peer = next
+	c.emit(fetchFrom{peer: next})
 }
 
-// nextToAsk returns the best peer not asked yet: the one that gave notice,
-// then those with the highest generation, the nearest first, spread by
-// rendezvous hashing.
-func (c *core) nextToAsk() string {
-	if c.fetch.hintGen > c.cur.generation() && !c.fetch.asked[c.fetch.hint] {
-		return c.fetch.hint
+// nextPeer returns the best peer not yet queried: first the one that announced a higher generation,
+// then by highest generation, by proximity and by rendezvous hashing, which spreads the load.
+func (c *core) nextPeer() string {
+	if c.fetch.hintGen > c.cur.generation() && !c.fetch.asked[c.fetch.hintPeer] {
+		return c.fetch.hintPeer
 	}
 	var best *membership.Member
-	candidates := c.others()
+	candidates := c.peers()
 	for i := range candidates {
 		m := &candidates[i]
-		if c.fetch.asked[m.Name] || !c.mayHelp(m) {
+		if c.fetch.asked[m.Name] || !c.mayHaveNewer(m) {
 			continue
 		}
-		if best == nil || c.before(m, best) {
+		if best == nil || c.isPreferred(m, best) {
 			best = m
 		}
 	}
@@ -160,12 +160,13 @@
 	return best.Name
 }
 
-// mayHelp reports whether a member may have a higher generation. While starting, any may.
-func (c *core) mayHelp(m *membership.Member) bool {
-	return c.starting() || config.Generation(m.Generation) > c.cur.generation()
+// mayHaveNewer reports whether a member may have a higher generation. While this daemon starts, any
+// member may.
+func (c *core) mayHaveNewer(m *membership.Member) bool {
+	return c.isStarting() || config.Generation(m.Generation) > c.cur.generation()
 }
 
-func (c *core) before(a, b *membership.Member) bool {
+func (c *core) isPreferred(a, b *membership.Member) bool {
 	if a.Generation != b.Generation {
 		return a.Generation > b.Generation
 	}
@@ -175,7 +176,8 @@
 	return rendezvous.Score(c.self.Name, a.Name) > rendezvous.Score(c.self.Name, b.Name)
 }
 
-// distance ranks members: own availability zone, own region, elsewhere.
+// distance ranks members by proximity: 0 in the same availability zone, 1 in the same region, 2
+// elsewhere.
 func (c *core) distance(m *membership.Member) int {
 	switch {
 	case m.Zone == c.self.Zone:
@@ -186,29 +188,29 @@
 	return 2
 }
 
-// onFetched takes a peer's answer: its document, nil when it has none.
-func (c *core) onFetched(now time.Time, d *held, err error) {
+// onFetched handles the result of a fetch: the peer's document, or nil if it has none.
+func (c *core) onFetched(now time.Time, d *loadedDocument, err error) {
 	if c.fetch.asked == nil {
 		c.fetch.asked = make(map[string]bool)
 	}
 	c.fetch.asked[c.fetch.peer] = true
-	c.fetch.tried++
+	c.fetch.callsEnded++
 	c.fetch.step = FetchPending
-	c.fetch.startAt = now.Add(fetchRetry)
+	c.fetch.startAt = now.Add(fetchRetryDelay)
 	if err == nil {
 		c.fetch.startAt = now
-		c.takeFetched(d)
+		c.adoptFetched(d)
 	}
-	if !c.wantsFetch() {
+	if !c.needsFetch() {
 		c.fetch.step = FetchIdle
-		c.fetch.startOver()
+		c.fetch.resetAsked()
 	}
-	c.checkReady()
+	c.updateReady()
 }
 
-// takeFetched adopts a peer's document. One that was announced by a push goes
-// on down the same tree.
-func (c *core) takeFetched(d *held) {
+// adoptFetched adopts a fetched document. If a push announced it, it is relayed down the tree of
+// that push.
+func (c *core) adoptFetched(d *loadedDocument) {
 	if d == nil {
 		return
 	}
--- a/internal/confsync/fleet_test.go
+++ b/internal/confsync/fleet_test.go
@@ -21,14 +21,14 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// Times of the fleet's stand-in for membership.
+// Times of the fake membership of the fleet.
 const (
-	heartbeat  = 500 * time.Millisecond
-	goneAfter  = 2 * time.Second
-	inForceMax = 3 * time.Second // bound on accept to in force everywhere
+	heartbeat   = 500 * time.Millisecond
+	removeAfter = 2 * time.Second
+	inForceMax  = 3 * time.Second // limit from acceptance until in force on all daemons
 )
 
-// fakeMembers is the membership.Source of one daemon.
+// fakeMembers is the fake membership.Source of one daemon.
 type fakeMembers struct {
 	mu    sync.Mutex
 	view  *membership.View
@@ -58,26 +58,26 @@
 	}
 }
 
-// testDaemon is one daemon of a fleet.
+// testDaemon is a daemon of the test fleet.
 type testDaemon struct {
 	*Service
-	member  membership.Member
-	members *fakeMembers
-	diedAt  time.Time // zero while it runs
-	mu      sync.Mutex
-	reverts int
+	member    membership.Member
+	members   *fakeMembers
+	crashedAt time.Time // zero while it runs
+	mu        sync.Mutex
+	reverts   int
 }
 
-func (d *testDaemon) running() bool { return d.diedAt.IsZero() }
+func (d *testDaemon) running() bool { return d.crashedAt.IsZero() }
 
-// fleet is some daemons over an in-memory network and store. Its stand-in for
-// membership tells all daemons of all others at each heartbeat.
+// fleet is a set of daemons with an in-memory network and store. Its fake membership sends all
+// daemons a view of the whole fleet at each heartbeat.
 type fleet struct {
 	t     *testing.T
 	hub   *peertest.Hub
 	store *platformtest.Store
 
-	mu      sync.Mutex // guards daemons and their diedAt
+	mu      sync.Mutex // guards daemons and their crashedAt
 	daemons []*testDaemon
 
 	stop context.CancelFunc
@@ -86,8 +86,7 @@
 	blocks int // client blocks in the next documents, besides those of the example
 }
 
-// newFleet starts perRegion daemons in each of two regions. It must run in a
-// synctest bubble.
+// newFleet starts perRegion daemons in each of two regions. It must be called in a synctest bubble.
 func newFleet(t *testing.T, perRegion int) *fleet {
 	f := &fleet{t: t, hub: peertest.NewHub(1), store: platformtest.NewStore(), next: 1000}
 	for i := range 2 * perRegion {
@@ -95,7 +94,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.stop = cancel
-	go f.beat(ctx)
+	go f.sendHeartbeats(ctx)
 	t.Cleanup(f.close)
 	return f
 }
@@ -105,7 +104,7 @@
 	for _, d := range f.daemons {
 		_ = d.Stop(context.Background())
 	}
-	time.Sleep(time.Minute) // lets what is on the way end
+	time.Sleep(time.Minute) // lets messages and calls in progress end
 }
 
 func (f *fleet) start(name, region string) *testDaemon {
@@ -136,18 +135,18 @@
 	return d
 }
 
-// crash ends a daemon without a word.
+// crash stops a daemon and removes it from the network without notice to the others.
 func (f *fleet) crash(d *testDaemon) {
 	f.hub.Remove(d.member.Name)
 	_ = d.Stop(context.Background())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d.diedAt = time.Now()
+	d.crashedAt = time.Now()
 }
 
-func (f *fleet) beat(ctx context.Context) {
+func (f *fleet) sendHeartbeats(ctx context.Context) {
 	for tick := uint64(1); ctx.Err() == nil; tick++ {
-		members := f.known()
+		members := f.advertisedMembers()
 		for _, d := range f.alive() {
 			d.members.set(&membership.View{Version: tick, Self: d.member.Name, Members: members})
 		}
@@ -155,8 +154,9 @@
 	}
 }
 
-// known returns what heartbeats tell: daemons that died stay for a while.
-func (f *fleet) known() []membership.Member {
+// advertisedMembers returns the members as seen through heartbeats. Crashed daemons remain listed
+// for removeAfter.
+func (f *fleet) advertisedMembers() []membership.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var members []membership.Member
@@ -165,7 +165,7 @@
 		if s := d.Current(); s != nil {
 			m.Generation, m.Hash = uint64(s.Generation), s.Hash
 		}
-		if !d.running() && time.Since(d.diedAt) > goneAfter {
+		if !d.running() && time.Since(d.crashedAt) > removeAfter {
 			continue
 		}
 		members = append(members, m)
@@ -185,12 +185,12 @@
 	return slices.DeleteFunc(slices.Clone(f.daemons), func(d *testDaemon) bool { return !d.running() })
 }
 
-// watcher returns a running daemon that watches, of a region.
+// watchers returns the running daemons of a region that watch the store.
 func (f *fleet) watchers(region string) []*testDaemon {
 	var out []*testDaemon
 	for _, d := range f.alive() {
 		d.Service.mu.Lock()
-		if d.member.Region == region && d.core.watch.watcher {
+		if d.member.Region == region && d.core.watch.isWatcher {
 			out = append(out, d)
 		}
 		d.Service.mu.Unlock()
@@ -198,7 +198,7 @@
 	return out
 }
 
-// document returns a document unlike all before it.
+// document returns a document that differs from all previous ones.
 func (f *fleet) document() *config.Document {
 	text, _ := examples.Document("estiba")
 	doc, err := config.Parse(text)
@@ -217,7 +217,7 @@
 	return doc
 }
 
-// proposal returns a new document on what a daemon has in force.
+// proposal returns a proposal of a new document, based on the generation in force on a daemon.
 func (f *fleet) proposal(d *testDaemon) repository.Proposal {
 	p := repository.Proposal{Document: f.document()}
 	if s := d.Current(); s != nil {
@@ -226,7 +226,7 @@
 	return p
 }
 
-// apply has a document accepted through a daemon.
+// apply applies a new document through a daemon.
 func (f *fleet) apply(d *testDaemon) config.Generation {
 	f.t.Helper()
 	accepted, err := d.Apply(context.Background(), f.proposal(d))
@@ -236,8 +236,9 @@
 	return accepted.Record.Generation
 }
 
-// put has a document accepted past all daemons, as by one that died at once.
-func (f *fleet) put(base config.Generation) config.Generation {
+// applyToStore applies a new document directly to the store, like a daemon that crashes immediately
+// afterwards.
+func (f *fleet) applyToStore(base config.Generation) config.Generation {
 	f.t.Helper()
 	repo := repository.New(f.store, kernel.SystemClock{})
 	accepted, err := repo.Apply(context.Background(), repository.Proposal{Document: f.document(), Base: base})
@@ -247,9 +248,9 @@
 	return accepted.Record.Generation
 }
 
-// settle waits until the generation is in force at all running daemons, and
-// fails when that takes longer than allowed.
-func (f *fleet) settle(gen config.Generation, within time.Duration) {
+// waitInForce waits until the generation is in force on all running daemons, and fails if that
+// takes longer than allowed.
+func (f *fleet) waitInForce(gen config.Generation, within time.Duration) {
 	f.t.Helper()
 	deadline := time.Now().Add(within)
 	for {
@@ -258,14 +259,14 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			f.t.Fatalf("after %v generation %d is not in force at %v", within, gen, behind)
+			f.t.Fatalf("after %v generation %d is not in force on %v", within, gen, behind)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, d := range f.daemons {
 		d.mu.Lock()
 		if d.reverts > 0 {
-			f.t.Errorf("%s went back %d times", d.member.Name, d.reverts)
+			f.t.Errorf("%s returned to a lower generation %d times", d.member.Name, d.reverts)
 		}
 		d.mu.Unlock()
 	}
@@ -281,17 +282,17 @@
 	return names
 }
 
-// storeCalls returns the calls so far that follow the document.
+// storeCalls returns the number of get and watch calls to the store so far.
 func (f *fleet) storeCalls() int {
 	return f.store.Calls(platform.OpGet) + f.store.Calls(platform.OpWatch)
 }
 
-// chunkReads returns the reads so far of client blocks kept in chunks.
+// chunkReads returns the number of reads of client block chunks so far.
 func (f *fleet) chunkReads() int {
 	return f.store.Counts()[platformtest.CountKey{Op: platform.OpGet, Kind: platform.KindConfigChunk}]
 }
 
-func (f *fleet) runs(d *testDaemon) bool {
+func (f *fleet) isRunning(d *testDaemon) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return d.running()
--- a/internal/confsync/matrix_test.go
+++ b/internal/confsync/matrix_test.go
@@ -13,46 +13,45 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// matrixFaults are the faults that come at each step.
+// matrixFaults are the faults injected at each step.
 var matrixFaults = []string{
 	"crash", "pause", "lost request", "lost answer", "delay", "duplicate", "stale read", "store outage", "silent connection",
 }
 
-// matrixSteps are the steps of apply, watch, relay, fetch and adopt. Each
-// brings a fault at its step, has a document accepted, and returns its
-// generation.
+// matrixSteps are the steps of apply, watch, relay, fetch and adopt. Each injects a fault at its
+// step, applies a document and returns its generation.
 var matrixSteps = []struct {
 	name string
 	run  func(f *fleet, fault string) config.Generation
 }{
 	{"apply reads", func(f *fleet, fault string) config.Generation {
 		f.failCalls(platform.OpGet, fault, f.daemons[0])
-		return f.applyWherever()
+		return f.applyWithFailover()
 	}},
 	{"apply writes", func(f *fleet, fault string) config.Generation {
 		f.failCalls(platform.OpUpdate, fault, f.daemons[0])
-		return f.applyWherever()
+		return f.applyWithFailover()
 	}},
 	{"watch reads", func(f *fleet, fault string) config.Generation {
-		f.store.SetOutage(true) // makes the watchers read again
+		f.store.SetOutage(true) // forces the watchers to read again
 		time.Sleep(time.Second)
 		f.store.SetOutage(false)
 		f.failCalls(platform.OpGet, fault, f.watchers("region-0")[0])
-		return f.put(1)
+		return f.applyToStore(1)
 	}},
 	{"watch waits", func(f *fleet, fault string) config.Generation {
 		f.failCalls(platform.OpWatch, fault, f.watchers("region-0")[0])
-		return f.put(1)
+		return f.applyToStore(1)
 	}},
 	{"relay pushes", func(f *fleet, fault string) config.Generation {
-		f.deafen()
+		f.failWatches()
 		gen := f.apply(f.daemons[0])
 		f.failLinks(fault, f.daemons[0])
 		return gen
 	}},
 	{"relay is pushed to", func(f *fleet, fault string) config.Generation {
-		f.deafen()
-		if fault == "store outage" { // nothing is accepted while it lasts
+		f.failWatches()
+		if fault == "store outage" { // no document can be applied during the outage
 			defer f.failLinks(fault, f.daemons[4])
 		} else {
 			f.failLinks(fault, f.daemons[4])
@@ -77,44 +76,44 @@
 		for _, fault := range matrixFaults {
 			t.Run(step.name+"/"+fault, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f := settled(t)
+					f := newSettledFleet(t)
 					gen := step.run(f, fault)
 					if len(f.alive()) < 2*perRegion-1 {
-						t.Errorf("only %d daemons run", len(f.alive()))
+						t.Errorf("only %d daemons are running", len(f.alive()))
 					}
-					f.settle(gen, inForceMax)
+					f.waitInForce(gen, inForceMax)
 				})
 			})
 		}
 	}
 }
 
-// Sizes of the matrix's faults.
+// Number of calls affected by a fault, and how long it lasts.
 const (
-	faultyCalls = 2
-	faultLasts  = 700 * time.Millisecond
+	faultyCallCount = 2
+	faultDuration   = 700 * time.Millisecond
 )
 
-// failCalls brings a fault at the next store calls of an operation. A crash or
-// pause hits the daemon.
+// failCalls injects a fault into the next store calls of an operation. A crash or pause affects the
+// daemon.
 func (f *fleet) failCalls(op platform.Op, fault string, d *testDaemon) {
 	switch fault {
 	case "stale read":
 		f.store.Freeze()
-		time.AfterFunc(faultLasts, f.store.Unfreeze)
+		time.AfterFunc(faultDuration, f.store.Unfreeze)
 		return
 	case "store outage":
 		f.store.SetOutage(true)
-		time.AfterFunc(faultLasts, func() { f.store.SetOutage(false) })
+		time.AfterFunc(faultDuration, func() { f.store.SetOutage(false) })
 		return
 	}
 	left := atomic.Int64{}
-	left.Store(faultyCalls)
+	left.Store(faultyCallCount)
 	f.store.SetHook(func(ctx context.Context, c platformtest.Call) platformtest.Fault {
 		if c.Kind != platform.KindConfig || c.Op != op || left.Add(-1) < 0 {
 			return platformtest.FaultNone
 		}
-		return f.failCall(ctx, fault, d, left.Load() == faultyCalls-1)
+		return f.failCall(ctx, fault, d, left.Load() == faultyCallCount-1)
 	})
 }
 
@@ -126,30 +125,30 @@
 		}
 	case "pause":
 		f.pause(d)
-		time.Sleep(faultLasts)
+		time.Sleep(faultDuration)
 	case "lost request":
 		return platformtest.FaultLostRequest
-	case "lost answer", "duplicate": // the write is sent again after both
+	case "lost answer", "duplicate": // both cause the write to be repeated
 		return platformtest.FaultLostResponse
 	case "delay":
-		time.Sleep(faultLasts)
+		time.Sleep(faultDuration)
 	case "silent connection":
 		select {
 		case <-ctx.Done():
-		case <-time.After(faultLasts):
+		case <-time.After(faultDuration):
 		}
 		return platformtest.FaultLostRequest
 	}
 	return platformtest.FaultNone
 }
 
-// failLinks brings a fault at the messages of a daemon for a while; silence
-// towards one neighbor lasts.
+// failLinks injects a fault into the messages of a daemon for faultDuration. A crash, a stale store, a
+// store outage and a silent connection to one neighbor last until the end of the test.
 func (f *fleet) failLinks(fault string, d *testDaemon) {
 	name := d.member.Name
 	brief := func(from, to string, fault peertest.Fault) {
 		f.hub.SetFault(from, to, fault)
-		time.AfterFunc(faultLasts, func() { f.hub.SetFault(from, to, peertest.Fault{}) })
+		time.AfterFunc(faultDuration, func() { f.hub.SetFault(from, to, peertest.Fault{}) })
 	}
 	switch fault {
 	case "crash":
@@ -161,7 +160,7 @@
 	case "lost answer":
 		brief(peertest.Any, name, peertest.Fault{Partition: true})
 	case "delay":
-		brief(peertest.Any, name, peertest.Fault{Delay: faultLasts})
+		brief(peertest.Any, name, peertest.Fault{Delay: faultDuration})
 	case "duplicate":
 		brief(peertest.Any, name, peertest.Fault{Duplicate: 1})
 	case "stale read":
@@ -173,30 +172,30 @@
 	}
 }
 
-// pause holds a daemon's messages for a while.
+// pause holds back a daemon's messages for faultDuration.
 func (f *fleet) pause(d *testDaemon) {
 	f.hub.Pause(d.member.Name)
-	time.AfterFunc(faultLasts, func() { f.hub.Resume(d.member.Name) })
+	time.AfterFunc(faultDuration, func() { f.hub.Resume(d.member.Name) })
 }
 
-// deafen makes watches fail from now on, so that peers carry the document.
-func (f *fleet) deafen() {
+// failWatches makes all watches fail from now on, so that peers have to distribute the document.
+func (f *fleet) failWatches() {
 	f.store.SetHook(func(_ context.Context, c platformtest.Call) platformtest.Fault {
 		if c.Op == platform.OpWatch {
 			return platformtest.FaultUnavailable
 		}
 		return platformtest.FaultNone
 	})
-	time.Sleep(2 * time.Second) // until the waiting watches have ended
+	time.Sleep(2 * time.Second) // until the watches in progress have ended
 }
 
-// applyWherever applies a document as an operator does, who goes to another
-// daemon when one has died.
-func (f *fleet) applyWherever() config.Generation {
+// applyWithFailover applies a document through one daemon, and through another if that one has
+// crashed or fails, as an operator would.
+func (f *fleet) applyWithFailover() config.Generation {
 	f.t.Helper()
 	p := f.proposal(f.daemons[0])
 	accepted, err := f.daemons[0].Apply(context.Background(), p)
-	if err != nil || !f.runs(f.daemons[0]) {
+	if err != nil || !f.isRunning(f.daemons[0]) {
 		accepted, err = f.daemons[1].Apply(context.Background(), p)
 	}
 	if err != nil {
--- a/internal/confsync/messages.go
+++ b/internal/confsync/messages.go
@@ -5,23 +5,22 @@
 	"masticturn/internal/config/repository"
 )
 
-// wireDocument is a document on its way between daemons. Without Main it is a
-// notice that the sender has it; client blocks are left out when they are
-// many.
+// wireDocument is a document as sent between daemons. Without Main it is only an announcement that
+// the sender has the document. Large sections are left out and fetched separately.
 type wireDocument struct {
 	Generation uint64
 	Hash       uint64
-	BlocksHash uint64 // of its client blocks; 0 when there are none
+	BlocksHash uint64 // of its client blocks; 0 if there are none
 	Main       []byte // compressed, without client blocks
 	Blocks     []byte // compressed client blocks
 }
 
-// packed returns the document to be opened.
+// packed returns the document in its packed form.
 func (w *wireDocument) packed() *repository.Packed {
 	return &repository.Packed{Hash: w.Hash, BlocksHash: w.BlocksHash, Main: w.Main, Blocks: w.Blocks}
 }
 
-// section is a part of a document that is fetched on its own.
+// section is a separately fetched part of a document.
 type section uint8
 
 const (
@@ -31,69 +30,69 @@
 
 // pushMessage is the one-way message of peer.KindConfigPush.
 type pushMessage struct {
-	Root     string // daemon at which the spread in the region began; empty: not to be relayed
+	Root     string // root of the tree in the region; empty if the document is not to be relayed on receipt
 	Document wireDocument
 }
 
-// fetchMessage asks for a piece of a section of a document: the call of
+// fetchRequest requests a piece of a section of a document. It is the request of
 // peer.KindConfigFetch.
-type fetchMessage struct {
-	Generation uint64 // of the document wanted; 0: the one in force
+type fetchRequest struct {
+	Generation uint64 // of the requested document; 0 for the one in force
 	Section    section
-	Offset     int    // where the piece begins
-	Have       uint64 // generation in force at the asking daemon; no piece is sent of one that is not higher
+	Offset     int    // of the piece in the section, in bytes
+	Have       uint64 // generation in force on the requesting daemon; pieces are sent only of a higher one
 }
 
-// fetchAnswer answers fetchMessage. Its notice has generation 0 when the peer
-// has no document. A peer that has another generation in force by now answers
-// with the notice of that one and no piece.
-type fetchAnswer struct {
-	Notice wireDocument
-	Piece  []byte
-	Total  int // bytes of the whole section
+// fetchResponse is the response to fetchRequest. Metadata has generation 0 if the peer has no
+// document. If the peer has another generation in force than requested, it returns the metadata of
+// that one and no piece.
+type fetchResponse struct {
+	Metadata wireDocument
+	Piece    []byte
+	Total    int // bytes of the whole section
 }
 
-// held is a document that this daemon has, ready to be passed on.
-type held struct {
+// loadedDocument is a document in both forms: decoded for use and packed for relaying.
+type loadedDocument struct {
 	snap   *config.Snapshot
 	packed *repository.Packed
 }
 
-func (h *held) generation() config.Generation {
-	if h == nil {
+func (d *loadedDocument) generation() config.Generation {
+	if d == nil {
 		return 0
 	}
-	return h.snap.Generation
+	return d.snap.Generation
 }
 
-func (h *held) hash() uint64 {
-	if h == nil {
+func (d *loadedDocument) hash() uint64 {
+	if d == nil {
 		return 0
 	}
-	return h.snap.Hash
+	return d.snap.Hash
 }
 
-// notice returns the document without its content.
-func (h *held) notice() wireDocument {
-	return wireDocument{Generation: uint64(h.snap.Generation), Hash: h.snap.Hash, BlocksHash: h.snap.BlocksHash}
+// metadata returns the document without its content.
+func (d *loadedDocument) metadata() wireDocument {
+	return wireDocument{Generation: uint64(d.snap.Generation), Hash: d.snap.Hash, BlocksHash: d.snap.BlocksHash}
 }
 
-// wire returns the document with those parts that are small.
-func (h *held) wire() wireDocument {
-	w := h.notice()
-	if len(h.packed.Main) <= maxPushBytes {
-		w.Main = h.packed.Main
+// wire returns the document with the sections that are small enough to be pushed.
+func (d *loadedDocument) wire() wireDocument {
+	w := d.metadata()
+	if len(d.packed.Main) <= maxPushBytes {
+		w.Main = d.packed.Main
 	}
-	if len(h.packed.Blocks) <= maxPushBytes {
-		w.Blocks = h.packed.Blocks
+	if len(d.packed.Blocks) <= maxPushBytes {
+		w.Blocks = d.packed.Blocks
 	}
 	return w
 }
 
-// section returns a whole section.
-func (h *held) section(s section) []byte {
+// section returns the packed bytes of a section.
+func (d *loadedDocument) section(s section) []byte {
 	if s == sectionBlocks {
-		return h.packed.Blocks
+		return d.packed.Blocks
 	}
-	return h.packed.Main
+	return d.packed.Main
 }
--- a/internal/confsync/notifier.go
+++ b/internal/confsync/notifier.go
@@ -10,7 +10,7 @@
 	"masticturn/internal/config"
 )
 
-// notifier calls subscribers with each snapshot, in order, from one goroutine.
+// notifier calls subscribers with each snapshot, in order, from a single goroutine.
 type notifier struct {
 	mu          sync.Mutex
 	queue       []*config.Snapshot
@@ -38,7 +38,7 @@
 	n.subscribers = slices.DeleteFunc(slices.Clone(n.subscribers), func(o *subscriber) bool { return o == s })
 }
 
-// add queues a snapshot. It does not block.
+// add queues a snapshot without blocking.
 func (n *notifier) add(snap *config.Snapshot) {
 	n.mu.Lock()
 	n.queue = append(n.queue, snap)
@@ -72,7 +72,7 @@
 	}
 }
 
-// counters are the metrics of the service.
+// counters holds the metrics of the service.
 type counters struct {
 	adopted *metrics.Counter
 	pushes  *metrics.Counter
--- a/internal/confsync/relay.go
+++ b/internal/confsync/relay.go
@@ -8,22 +8,22 @@
 	"masticturn/internal/rendezvous"
 )
 
-// relayState remembers for which roots the document in force was passed on.
+// relayState records the tree roots for which the document in force has been relayed.
 type relayState struct {
 	generation config.Generation
 	roots      map[string]bool
-	repairAt   time.Time // next look at who is behind
+	repairAt   time.Time // time of the next check for members that are behind
 }
 
 func (r *relayState) reset(gen config.Generation, now time.Time) {
 	r.generation = gen
 	r.roots = make(map[string]bool)
-	r.repairAt = now.Add(repairAfter)
+	r.repairAt = now.Add(repairDelay)
 }
 
-// due reports whether the document is to be passed on for a root, once for
-// each and for a bounded number of them.
-func (r *relayState) due(root string) bool {
+// addRoot records a root and reports whether the document has to be relayed for it: once per root,
+// and for at most maxRoots roots.
+func (r *relayState) addRoot(root string) bool {
 	if r.roots[root] || len(r.roots) >= maxRoots {
 		return false
 	}
@@ -31,11 +31,11 @@
 	return true
 }
 
-// spread passes the document in force on. Within the region it travels down a
-// tree over the members, whose root is the daemon that brought it into the
-// region. Who has it from the store or an operator also gives notice to the
-// watchers of the other regions, which reaches them when the store does not.
-func (c *core) spread(from source, root string) {
+// propagate relays the document in force. Within a region it travels down a tree of the members,
+// rooted at the daemon that brought it into the region. A daemon that has it from the store or an
+// operator also announces it to the watchers of the other regions, in case they cannot reach the
+// store.
+func (c *core) propagate(from source, root string) {
 	switch from {
 	case fromPush:
 		c.pushDown(root)
@@ -43,13 +43,13 @@
 		c.pushDown(c.self.Name)
 	case fromStore, fromApply:
 		c.pushDown(c.self.Name)
-		c.notifyRegions()
+		c.announceToRegions()
 	}
 }
 
-// pushDown sends the document to this daemon's children in a root's tree.
+// pushDown sends the document to this daemon's children in the tree of a root.
 func (c *core) pushDown(root string) {
-	if root == "" || !c.relay.due(root) {
+	if root == "" || !c.relay.addRoot(root) {
 		return
 	}
 	message := pushMessage{Root: root, Document: c.cur.wire()}
@@ -58,15 +58,15 @@
 	}
 }
 
-// children returns the members below this daemon in the tree of a root. All
-// daemons with the same view compute the same tree: the members of the region
-// in rendezvous order for the root, each with treeDegree children. Daemons
-// left out by a differing view learn of the generation by heartbeats.
+// children returns the children of this daemon in the tree of a root. The tree consists of the
+// members of the region in rendezvous order for the root, each with treeDegree children, so that
+// all daemons with the same view compute the same tree. Daemons that are missed because views
+// differ learn of the generation from heartbeats.
 func (c *core) children(root string) []string {
 	members := c.view.InRegion(c.self.Region)
 	order := make([]string, 1, len(members)+1)
 	order[0] = root
-	for _, m := range rendezvous.Top("config.tree/"+root, members, len(members), nameOf) {
+	for _, m := range rendezvous.Top("config.tree/"+root, members, len(members), memberName) {
 		if m.Name != root {
 			order = append(order, m.Name)
 		}
@@ -80,49 +80,48 @@
 	return nil
 }
 
-// notifyRegions gives notice to the watchers of each other region.
-func (c *core) notifyRegions() {
-	message := pushMessage{Document: c.cur.notice()}
+// announceToRegions announces the document to the watchers of each other region.
+func (c *core) announceToRegions() {
+	message := pushMessage{Document: c.cur.metadata()}
 	seen := map[string]bool{c.self.Region: true}
 	for _, m := range c.view.Members {
 		if seen[m.Region] {
 			continue
 		}
 		seen[m.Region] = true
-		for _, w := range watchers(c.view, m.Region) {
+		for _, w := range selectWatchers(c.view, m.Region) {
 			c.emit(pushTo{w.Name, message})
 		}
 	}
 }
 
-// onPush takes a pushed document, nil when it was only a notice of a
-// generation.
-func (c *core) onPush(now time.Time, from string, message pushMessage, d *held) {
+// onPush handles a push. The document is nil if the push was only an announcement.
+func (c *core) onPush(now time.Time, from string, message pushMessage, d *loadedDocument) {
 	gen := config.Generation(message.Document.Generation)
 	switch {
 	case gen < c.cur.generation():
 		return
 	case gen == c.cur.generation():
 		if message.Document.Hash != c.cur.hash() {
-			c.dispute(gen, from)
+			c.onConflict(gen, from)
 			return
 		}
 		c.pushDown(message.Root)
 	case d != nil:
 		c.adopt(d, fromPush, message.Root)
 	default:
-		c.noticed(now, from, message.Root, gen)
+		c.onAnnouncement(now, from, message.Root, gen)
 	}
 	c.peerAnswered = true
-	c.checkReady()
+	c.updateReady()
 }
 
-// noticed fetches at once what a peer gave notice of.
-func (c *core) noticed(now time.Time, from, root string, gen config.Generation) {
+// onAnnouncement fetches the announced generation immediately.
+func (c *core) onAnnouncement(now time.Time, from, root string, gen config.Generation) {
 	if gen <= c.fetch.hintGen {
 		return
 	}
-	c.fetch.hint, c.fetch.hintGen, c.fetch.hintRoot = from, gen, root
+	c.fetch.hintPeer, c.fetch.hintGen, c.fetch.hintRoot = from, gen, root
 	delete(c.fetch.asked, from)
 	if c.fetch.step != FetchAsking {
 		c.fetch.step = FetchPending
@@ -131,9 +130,8 @@
 	}
 }
 
-// tickRepair pushes again to members of the region that are behind long after
-// this daemon adopted the document: their pushes were lost, or they cannot
-// reach whom they ask.
+// tickRepair pushes again to members of the region that are still behind: either pushes to them
+// were lost, or they cannot reach the peers that they fetch from.
 func (c *core) tickRepair(now time.Time) {
 	if c.cur == nil || now.Before(c.relay.repairAt) {
 		return
@@ -141,22 +139,22 @@
 	c.relay.repairAt = now.Add(repairInterval)
 	members := c.view.InRegion(c.self.Region)
 	for _, m := range members {
-		if m.Name != c.self.Name && config.Generation(m.Generation) < c.cur.generation() && c.repairs(m.Name, members) {
+		if m.Name != c.self.Name && config.Generation(m.Generation) < c.cur.generation() && c.isRepairer(m.Name, members) {
 			c.emit(pushTo{m.Name, pushMessage{Document: c.cur.wire()}})
 		}
 	}
 }
 
-// repairs reports whether this daemon is one of those to push again to a
-// member that is behind.
-func (c *core) repairs(behind string, members []membership.Member) bool {
-	var able []membership.Member
+// isRepairer reports whether this daemon is one of those that push again to a member that is
+// behind.
+func (c *core) isRepairer(behind string, members []membership.Member) bool {
+	var candidates []membership.Member
 	for _, m := range members {
 		if m.Name == c.self.Name || config.Generation(m.Generation) >= c.cur.generation() {
-			able = append(able, m)
+			candidates = append(candidates, m)
 		}
 	}
-	for _, m := range rendezvous.Top("config.repair/"+behind, able, repairers, nameOf) {
+	for _, m := range rendezvous.Top("config.repair/"+behind, candidates, repairersPerMember, memberName) {
 		if m.Name == c.self.Name {
 			return true
 		}
--- a/internal/confsync/service.go
+++ b/internal/confsync/service.go
@@ -1,5 +1,7 @@
-// Package confsync puts the accepted document in force on all daemons: a few watch the platform's
-// store and spread it to the others. A daemon adopts only higher generations.
+// Package confsync distributes the accepted configuration document to all daemons of a fleet. In
+// each region a few daemons watch the platform's store and relay the document to the others. A
+// daemon adopts only higher generations, except that the store may replace the document of the
+// generation in force.
 package confsync
 
 import (
@@ -20,17 +22,17 @@
 	"masticturn/internal/telemetry"
 )
 
-// ServiceName is the name of the service in the kernel.
+// ServiceName is the name under which the service is registered in the kernel.
 const ServiceName = "config.sync"
 
-// Timeouts of the calls that follow the document.
+// Timeouts of calls to the store and to peers.
 const (
 	readTimeout  = 3 * time.Second
 	watchTimeout = 30 * time.Second
-	fetchTimeout = 500 * time.Millisecond // of one part
+	fetchTimeout = 500 * time.Millisecond // for one piece
 )
 
-// Deps are what the service needs.
+// Deps holds the dependencies of the service.
 type Deps struct {
 	Self    membership.Member // name, zone, region and incarnation of this daemon
 	Store   platform.Store
@@ -39,24 +41,23 @@
 	Clock   kernel.Clock
 	Log     *telemetry.Logger // may be nil
 	Metrics *metrics.Set      // may be nil
-	// Advertise passes the document in force here to the membership, to go
-	// out with heartbeats. It may be nil.
+	// Advertise passes generation and hash of the document in force to the membership service,
+	// which sends them with heartbeats. It may be nil.
 	Advertise func(generation, hash uint64)
 }
 
-// Service is the spread of the document at one daemon. It is the
-// config.Source of all others.
+// Service distributes the document on one daemon. It is the config.Source of all other services.
 type Service struct {
 	deps Deps
 	repo *repository.Repository
 
-	current atomic.Pointer[held]
+	current atomic.Pointer[loadedDocument]
 	notify  *notifier
 	counts  counters
 
 	mu     sync.Mutex // guards core
 	core   *core
-	ctx    context.Context // done when the service has stopped
+	ctx    context.Context // canceled by Stop
 	cancel context.CancelFunc
 
 	taskMu  sync.Mutex // guards stopped
@@ -69,8 +70,7 @@
 	_ config.Source  = (*Service)(nil)
 )
 
-// NewService returns a service that has no document yet. It sets its handlers
-// on the network.
+// NewService returns a service that has no document yet, and registers its handlers on the network.
 func NewService(deps Deps) *Service {
 	s := &Service{
 		deps:   deps,
@@ -91,8 +91,8 @@
 // Provision implements kernel.Service.
 func (s *Service) Provision(*kernel.Kernel) error { return nil }
 
-// Start asks the store and the peers for the document. It does not wait for
-// it; see Ready.
+// Start begins to request the document from the store and the peers, without waiting for it; see
+// Ready.
 func (s *Service) Start(ctx context.Context) error {
 	context.AfterFunc(ctx, s.cancel)
 	unsubscribe := s.deps.Members.Subscribe(func(v *membership.View) {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// Drain implements kernel.Service. The document is passed on until Stop.
+// Drain implements kernel.Service. The document is relayed until Stop.
 func (s *Service) Drain(context.Context) error { return nil }
 
 // Stop implements kernel.Service.
@@ -125,8 +125,8 @@
 
 // Current implements config.Source.
 func (s *Service) Current() *config.Snapshot {
-	if h := s.current.Load(); h != nil {
-		return h.snap
+	if d := s.current.Load(); d != nil {
+		return d.snap
 	}
 	return nil
 }
@@ -136,20 +136,19 @@
 	return s.notify.subscribe(f)
 }
 
-// Ready returns nil once the document in force has been confirmed since the
-// start and since the last pause of the process, or a *NotReadyError that
-// says what is missing.
+// Ready returns nil once the document in force has been confirmed since the process started or was
+// last paused, and otherwise a *NotReadyError with the reason.
 func (s *Service) Ready() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.whyNotReady()
+	return s.core.readyError()
 }
 
-// Repository returns the repository, to read the history.
+// Repository returns the repository, which gives access to the history.
 func (s *Service) Repository() *repository.Repository { return s.repo }
 
-// Written returns the document in force as it was written, without defaults,
-// and its generation; repository.ErrNoDocument when there is none.
+// Written returns the document in force as it was submitted, without defaults, and its generation,
+// or repository.ErrNoDocument if there is none.
 func (s *Service) Written() (config.Generation, *repository.Packed, error) {
 	cur := s.current.Load()
 	if cur == nil {
@@ -158,8 +157,8 @@
 	return cur.generation(), cur.packed, nil
 }
 
-// Apply stores a document and puts it in force here at once, from where it
-// spreads. Errors are those of repository.Apply.
+// Apply stores a document, puts it in force on this daemon immediately and distributes it from
+// here. Errors are those of repository.Apply.
 func (s *Service) Apply(ctx context.Context, p repository.Proposal) (*repository.Accepted, error) {
 	p.InForce = s.Current()
 	accepted, err := s.repo.Apply(ctx, p)
@@ -174,35 +173,35 @@
 	return accepted, nil
 }
 
-// load derives what is held of a document. Client blocks equal to those in
-// force are shared with them, and may be left out.
-func (s *Service) load(gen config.Generation, packed *repository.Packed) (*held, error) {
+// load decodes a packed document. Client blocks equal to those in force are shared with them and
+// may be left out.
+func (s *Service) load(gen config.Generation, packed *repository.Packed) (*loadedDocument, error) {
 	p := *packed
 	var have *config.Snapshot
 	cur := s.current.Load()
 	if cur != nil && cur.snap.BlocksHash == p.BlocksHash {
 		have = cur.snap
-		p.Blocks = nil // need not be opened
+		p.Blocks = nil // need not be unpacked
 	}
 	encoded, err := p.Open()
 	if err != nil {
-		return nil, s.unreadable(gen, err)
+		return nil, s.logUnreadable(gen, err)
 	}
 	snap, err := config.Load(gen, encoded, have)
 	if err != nil {
-		return nil, s.unreadable(gen, err)
+		return nil, s.logUnreadable(gen, err)
 	}
 	if have != nil {
 		p.Blocks = cur.packed.Blocks
 	}
-	return &held{snap: snap, packed: &p}, nil
+	return &loadedDocument{snap: snap, packed: &p}, nil
 }
 
-// step lets the core take an event and carries out its actions.
+// step passes an event to the core and performs the resulting actions.
 func (s *Service) step(event func(now time.Time)) {
 	s.mu.Lock()
 	event(s.deps.Clock.Now())
-	actions := s.core.take()
+	actions := s.core.takeActions()
 	for _, a := range actions {
 		if p, ok := a.(publish); ok {
 			s.publish(p.doc)
@@ -214,8 +213,9 @@
 	}
 }
 
-// publish puts a document in force; s.mu is held, which keeps the order.
-func (s *Service) publish(d *held) {
+// publish puts a document in force. The caller holds s.mu, so that documents are published in
+// order.
+func (s *Service) publish(d *loadedDocument) {
 	s.current.Store(d)
 	s.notify.add(d.snap)
 	s.counts.adopted.Inc()
@@ -224,9 +224,9 @@
 func (s *Service) perform(a action) {
 	switch a := a.(type) {
 	case readHead:
-		s.run(s.read)
+		s.run(s.readHead)
 	case watchHead:
-		s.run(func() { s.watch(a.since) })
+		s.run(func() { s.watchHead(a.since) })
 	case fetchFrom:
 		s.run(func() { s.fetch(a.peer) })
 	case pushTo:
--- a/internal/confsync/spread_test.go
+++ b/internal/confsync/spread_test.go
@@ -15,19 +15,19 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// perRegion makes trees of more than one level.
+// perRegion is large enough for trees of more than one level.
 const perRegion = 10
 
-// settled returns a fleet that has generation 1 in force.
-func settled(t *testing.T) *fleet {
+// newSettledFleet returns a fleet with generation 1 in force.
+func newSettledFleet(t *testing.T) *fleet {
 	f := newFleet(t, perRegion)
 	time.Sleep(time.Second)
-	f.settle(f.apply(f.daemons[3]), inForceMax)
+	f.waitInForce(f.apply(f.daemons[3]), inForceMax)
 	time.Sleep(time.Second)
 	return f
 }
 
-// TestTwoFaults has pairs of faults that are worse together than each alone.
+// TestTwoFaults combines faults that are more severe together than each alone.
 func TestTwoFaults(t *testing.T) {
 	const all = peertest.Any
 	tests := []struct {
@@ -45,23 +45,23 @@
 			for _, d := range f.watchers("region-0") {
 				f.crash(d)
 			}
-			return f.put(1)
+			return f.applyToStore(1)
 		}},
 		{"messages are lost, watches fail", func(f *fleet) config.Generation {
-			f.deafen()
+			f.failWatches()
 			f.hub.SetFault(all, all, peertest.Fault{Drop: 0.3})
 			return f.apply(f.daemons[0])
 		}},
-		{"pushes to one are lost, it can ask nobody", func(f *fleet) config.Generation {
-			f.deafen()
+		{"pushes to one daemon are lost, it can reach no peer", func(f *fleet) config.Generation {
+			f.failWatches()
 			f.hub.SetFault("vm-05", all, peertest.Fault{Partition: true})
 			f.hub.SetFault(all, "vm-05", peertest.Fault{Partition: true})
 			time.AfterFunc(time.Second, func() { f.hub.SetFault(all, "vm-05", peertest.Fault{}) })
 			return f.apply(f.daemons[0])
 		}},
 		{"all watches fail, the applier dies at once", func(f *fleet) config.Generation {
-			f.deafen()
-			return f.put(1)
+			f.failWatches()
+			return f.applyToStore(1)
 		}},
 		{"all watches hang", func(f *fleet) config.Generation {
 			f.store.SetHook(func(ctx context.Context, c platformtest.Call) platformtest.Fault {
@@ -70,7 +70,7 @@
 				}
 				return platformtest.FaultNone
 			})
-			time.Sleep(2 * time.Second) // until watches are begun anew
+			time.Sleep(2 * time.Second) // until new watches have started
 			return f.apply(f.daemons[0])
 		}},
 		{"a daemon restarts, reads are stale", func(f *fleet) config.Generation {
@@ -84,36 +84,36 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := settled(t)
-				f.settle(tt.run(f), inForceMax)
+				f := newSettledFleet(t)
+				f.waitInForce(tt.run(f), inForceMax)
 			})
 		})
 	}
 }
 
-// TestPeersCarryADocumentAtOnce has pushes, notices and relays do all the work,
-// before any heartbeat tells of the document.
-func TestPeersCarryADocumentAtOnce(t *testing.T) {
+// TestPeersDistributeBeforeHeartbeats checks that pushes, announcements and relays alone distribute the
+// document, before any heartbeat advertises it.
+func TestPeersDistributeBeforeHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t)
-		f.deafen()
+		f := newSettledFleet(t)
+		f.failWatches()
 		const delay = 5 * time.Millisecond
 		f.hub.SetFault(peertest.Any, peertest.Any, peertest.Fault{Delay: delay})
-		const hops = 6 // notice, call and answer, two levels of the tree, one to spare
-		f.settle(f.apply(f.daemons[0]), hops*delay)
+		const hops = 6 // announcement, fetch request and response, two levels of the tree, one spare
+		f.waitInForce(f.apply(f.daemons[0]), hops*delay)
 	})
 }
 
 func TestRestartWithStoreDownTakesTheHighestFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t)
-		f.settle(f.apply(f.daemons[1]), inForceMax)
+		f := newSettledFleet(t)
+		f.waitInForce(f.apply(f.daemons[1]), inForceMax)
 		f.store.SetOutage(true)
 		d := f.start("vm-90", "region-0")
 		if d.Ready() == nil {
 			t.Error("ready before it has a document")
 		}
-		f.settle(2, inForceMax)
+		f.waitInForce(2, inForceMax)
 		time.Sleep(readTimeout)
 		if err := d.Ready(); err != nil {
 			t.Error(err)
@@ -123,21 +123,21 @@
 
 func TestStaleStoreAtStartIsOutdoneByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t)
+		f := newSettledFleet(t)
 		f.store.Freeze()
-		f.settle(f.apply(f.daemons[1]), inForceMax)
+		f.waitInForce(f.apply(f.daemons[1]), inForceMax)
 		d := f.start("vm-90", "region-0")
 		time.Sleep(10 * time.Millisecond)
 		if d.Current() != nil && d.Current().Generation == 1 && d.Ready() == nil {
 			t.Error("ready with a stale document")
 		}
-		f.settle(2, inForceMax)
+		f.waitInForce(2, inForceMax)
 	})
 }
 
 func TestWholeFleetRestartWithStoreDownIsNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t)
+		f := newSettledFleet(t)
 		f.store.SetOutage(true)
 		for _, d := range f.alive() {
 			f.crash(d)
@@ -151,14 +151,14 @@
 			t.Fatalf("got %v", err)
 		}
 		f.store.SetOutage(false)
-		f.settle(1, maxBootWait)
+		f.waitInForce(1, maxInitialBackoff)
 		if err := d.Ready(); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-func TestNoDocumentYetIsSaid(t *testing.T) {
+func TestNotReadyWithoutDocument(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
 		time.Sleep(2 * time.Second)
@@ -170,7 +170,7 @@
 
 func TestDaemonCutOffCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t)
+		f := newSettledFleet(t)
 		f.store.SetOutage(true)
 		f.hub.SetFault("vm-01", peertest.Any, peertest.Fault{Partition: true})
 		f.hub.SetFault(peertest.Any, "vm-01", peertest.Fault{Partition: true})
@@ -183,15 +183,16 @@
 			t.Errorf("behind: %v", f.behind(gen))
 		}
 		f.hub.Heal()
-		f.settle(gen, inForceMax)
+		f.waitInForce(gen, inForceMax)
 	})
 }
 
-// TestStoreDecidesADispute gives one daemon another document of the
-// generation in force, as after a store that lost writes.
-func TestStoreDecidesADispute(t *testing.T) {
+// TestStoreResolvesConflict gives one daemon a different document of the generation in force, as
+// after a store that lost writes. The document of the store must replace it and stay in force on
+// the others.
+func TestStoreResolvesConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t)
+		f := newSettledFleet(t)
 		d := f.daemons[2]
 		encoded, err := config.Split(f.document())
 		if err != nil {
@@ -213,7 +214,7 @@
 			t.Error("the wrong document of the generation stays in force")
 		}
 		if got := f.daemons[0].Current().Hash; got != right {
-			t.Error("the wrong document spread")
+			t.Error("the wrong document was distributed")
 		}
 	})
 }
@@ -223,11 +224,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, perRegion)
 			time.Sleep(time.Second)
-			f.settle(f.apply(f.daemons[0]), inForceMax)
+			f.waitInForce(f.apply(f.daemons[0]), inForceMax)
 			time.Sleep(2 * time.Second)
 			before := f.storeCalls()
 			for range 5 {
-				f.settle(f.apply(f.daemons[0]), inForceMax)
+				f.waitInForce(f.apply(f.daemons[0]), inForceMax)
 				time.Sleep(10 * time.Second)
 			}
 			n = f.storeCalls() - before
@@ -240,20 +241,19 @@
 	}
 }
 
-// TestPushesAreBounded counts the pushes of one change at fleets of several
-// sizes.
+// TestPushesAreBounded counts the pushes of one change in fleets of several sizes.
 func TestPushesAreBounded(t *testing.T) {
 	for _, perRegion := range []int{6, 24, 72} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, perRegion)
 			time.Sleep(2 * time.Second)
-			f.settle(f.apply(f.daemons[3]), inForceMax)
+			f.waitInForce(f.apply(f.daemons[3]), inForceMax)
 			time.Sleep(2 * time.Second)
 			before := make(map[string]uint64)
 			for _, d := range f.daemons {
 				before[d.member.Name] = d.counts.pushes.Get()
 			}
-			f.settle(f.apply(f.daemons[0]), inForceMax)
+			f.waitInForce(f.apply(f.daemons[0]), inForceMax)
 			time.Sleep(2 * time.Second)
 			var sum, most uint64
 			for _, d := range f.daemons {
@@ -268,42 +268,42 @@
 	}
 }
 
-// TestManyClientBlocksTravelOnce spreads a document whose client blocks are too
-// many to be pushed, and then a change of something else.
-func TestManyClientBlocksTravelOnce(t *testing.T) {
+// TestLargeClientBlocksAreSentOnce distributes a document whose client blocks are too large to be
+// pushed, and then a change of another part, which must not send or read the client blocks again.
+func TestLargeClientBlocksAreSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
 		time.Sleep(time.Second)
 		f.blocks = 20_000
-		f.settle(f.apply(f.daemons[0]), inForceMax)
+		f.waitInForce(f.apply(f.daemons[0]), inForceMax)
 		size := len(f.daemons[7].current.Load().packed.Blocks)
 		if size < maxPieceBytes {
-			t.Fatalf("the client blocks have %d bytes, which one piece holds", size)
+			t.Fatalf("the client blocks have only %d bytes and fit into one piece", size)
 		}
 		before, read := f.hub.Stats().Bytes, f.chunkReads()
-		f.settle(f.apply(f.daemons[0]), inForceMax)
+		f.waitInForce(f.apply(f.daemons[0]), inForceMax)
 		if n := f.chunkReads() - read; n > 0 {
-			t.Errorf("%d chunks read for a change of something else", n)
+			t.Errorf("%d chunks read for a change of another part", n)
 		}
 		if sent := f.hub.Stats().Bytes - before; sent > len(f.daemons)*maxPushBytes {
-			t.Errorf("%d bytes sent for a change of something else", sent)
+			t.Errorf("%d bytes sent for a change of another part", sent)
 		}
 		f.store.SetOutage(true)
 		f.start("vm-90", "region-0")
-		f.settle(2, inForceMax)
+		f.waitInForce(2, inForceMax)
 	})
 }
 
-func TestDamagedPushIsRefused(t *testing.T) {
+func TestDamagedPushIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settled(t)
+		f := newSettledFleet(t)
 		packed, err := repository.Pack(&config.Encoded{Main: []byte(`{"deployment":"forged"}`)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		d := f.daemons[0]
-		if _, err := d.receive(&wireDocument{Generation: 9, Hash: 1, Main: packed.Main}); err == nil {
-			t.Error("a document that does not match its hash was taken")
+		if _, err := d.loadFromPeer(&wireDocument{Generation: 9, Hash: 1, Main: packed.Main}); err == nil {
+			t.Error("a document that does not match its hash was accepted")
 		}
 	})
 }
--- a/internal/confsync/watch.go
+++ b/internal/confsync/watch.go
@@ -12,18 +12,18 @@
 	"masticturn/internal/telemetry"
 )
 
-// WatchStep is a step of following the document in the store.
+// WatchStep is a state of watching the document in the store.
 type WatchStep uint8
 
-// The steps of following the document in the store.
+// The states of watching the document in the store.
 const (
-	WatchIdle    WatchStep = iota // others of the region watch
+	WatchIdle    WatchStep = iota // other daemons of the region watch
 	WatchReading                  // the head is being read
 	WatchWaiting                  // a watch waits for changes
-	WatchPausing                  // after an error, before the next read
+	WatchPausing                  // backoff after an error, before the next read
 )
 
-// String returns the name used in tests and logs.
+// String returns the name of the state, as used in logs.
 func (s WatchStep) String() string {
 	return [...]string{"idle", "reading", "waiting", "pausing"}[s]
 }
@@ -33,47 +33,47 @@
 	return []WatchStep{WatchIdle, WatchReading, WatchWaiting, WatchPausing}
 }
 
-// watchState is the state of following the document in the store. At most one
-// call is under way at any time.
+// watchState is the state of watching the document in the store. At most one call is in progress at
+// any time.
 type watchState struct {
-	step     WatchStep
-	watcher  bool              // chosen to watch
-	since    platform.Version  // version to wait from
-	readAt   time.Time         // last successful read
-	resumeAt time.Time         // end of WatchPausing
-	failures int               // in a row
-	lastErr  error             // of the last call; nil when it succeeded
-	disputed config.Generation // generation last found to exist twice
-	stale    config.Generation // generation in force when a stale answer was last logged
+	step           WatchStep
+	isWatcher      bool              // selected as a watcher of its region
+	since          platform.Version  // version after which to watch
+	readAt         time.Time         // last successful read
+	retryAt        time.Time         // end of WatchPausing
+	failures       int               // consecutive
+	lastErr        error             // of the last call; nil if it succeeded
+	conflictGen    config.Generation // last generation with two different documents
+	staleLoggedGen config.Generation // generation in force when a stale answer was last logged
 }
 
-// watchers returns the daemons of a region that watch, by rendezvous hashing
+// selectWatchers returns the daemons of a region that watch the store, chosen by rendezvous hashing
 // over its live members.
-func watchers(v *membership.View, region string) []membership.Member {
+func selectWatchers(v *membership.View, region string) []membership.Member {
 	var live []membership.Member
 	for _, m := range v.InRegion(region) {
 		if m.State == membership.Alive {
 			live = append(live, m)
 		}
 	}
-	return rendezvous.Top("config.watch/"+region, live, watchersPerRegion, nameOf)
+	return rendezvous.Top("config.watch/"+region, live, watchersPerRegion, memberName)
 }
 
-func nameOf(m membership.Member) string { return m.Name }
+func memberName(m membership.Member) string { return m.Name }
 
-// elect finds out whether this daemon is to watch. A daemon that knows nobody
-// else of its region watches.
-func (c *core) elect() {
-	chosen := watchers(c.view, c.self.Region)
-	is := len(chosen) == 0
+// updateWatcherRole determines whether this daemon is a watcher of its region. It is one as well if
+// it knows no live member of the region.
+func (c *core) updateWatcherRole() {
+	chosen := selectWatchers(c.view, c.self.Region)
+	selected := len(chosen) == 0
 	for _, m := range chosen {
-		is = is || m.Name == c.self.Name
+		selected = selected || m.Name == c.self.Name
 	}
-	if is && !c.watch.watcher {
+	if selected && !c.watch.isWatcher {
 		c.log(eventWatcher)
 	}
-	c.watch.watcher = is
-	if is && c.watch.step == WatchIdle {
+	c.watch.isWatcher = selected
+	if selected && c.watch.step == WatchIdle {
 		c.startRead()
 	}
 }
@@ -83,9 +83,9 @@
 	c.emit(readHead{})
 }
 
-// onHead takes the result of reading the head: the document, nil when the
-// store has none. The error is repository.ErrNoDocument or that of the store.
-func (c *core) onHead(now time.Time, d *held, version platform.Version, err error) {
+// onHead handles the result of reading the head: the document, or nil if the store has none. The
+// error is repository.ErrNoDocument or an error of the store.
+func (c *core) onHead(now time.Time, d *loadedDocument, version platform.Version, err error) {
 	if err != nil && !errors.Is(err, repository.ErrNoDocument) {
 		c.watchFailed(now, err)
 		return
@@ -93,39 +93,39 @@
 	c.watchSucceeded(err)
 	c.watch.readAt = now
 	c.watch.since = version
-	c.fromWatch(d)
-	c.goOn()
+	c.adoptFromStore(d)
+	c.continueWatch()
 }
 
-// onWatch takes the result of a watch: the newest document reported, nil when
-// there was no change.
-func (c *core) onWatch(now time.Time, d *held, version platform.Version, err error) {
+// onWatch handles the result of a watch: the newest document reported, or nil if there was no
+// change.
+func (c *core) onWatch(now time.Time, d *loadedDocument, version platform.Version, err error) {
 	if err != nil {
 		c.watchFailed(now, err)
 		return
 	}
 	c.watchSucceeded(c.watch.lastErr)
 	c.watch.since = version
-	c.fromWatch(d)
+	c.adoptFromStore(d)
 	if now.Sub(c.watch.readAt) >= readInterval {
 		c.startRead()
 		return
 	}
-	c.goOn()
+	c.continueWatch()
 }
 
-func (c *core) fromWatch(d *held) {
+func (c *core) adoptFromStore(d *loadedDocument) {
 	if d != nil {
 		c.watch.lastErr = nil
 		c.adopt(d, fromStore, "")
 	}
 	c.storeTried, c.storeAnswered = true, true
-	c.checkReady()
+	c.updateReady()
 }
 
-// goOn watches on, or leaves it to others.
-func (c *core) goOn() {
-	if !c.watch.watcher {
+// continueWatch starts the next watch if this daemon is a watcher, and otherwise becomes idle.
+func (c *core) continueWatch() {
+	if !c.watch.isWatcher {
 		c.watch.step = WatchIdle
 		return
 	}
@@ -133,11 +133,10 @@
 	c.emit(watchHead{c.watch.since})
 }
 
-// watchSucceeded notes an answer of the store; noDocument is
-// repository.ErrNoDocument or nil.
+// watchSucceeded records that the store answered. noDocument is repository.ErrNoDocument or nil.
 func (c *core) watchSucceeded(noDocument error) {
 	if c.watch.failures > 0 {
-		c.log(eventStoreBack)
+		c.log(eventStoreRecovered)
 	}
 	c.watch.failures = 0
 	c.watch.lastErr = noDocument
@@ -148,30 +147,31 @@
 		c.log(eventStoreLost, telemetry.Step(c.watch.step.String()), telemetry.Err(err))
 	}
 	c.storeTried = true
-	c.checkReady()
+	c.updateReady()
 	c.watch.failures++
 	c.watch.lastErr = err
 	c.watch.step = WatchPausing
-	c.watch.resumeAt = now.Add(c.backoff())
+	c.watch.retryAt = now.Add(c.backoff())
 }
 
-// backoff doubles with each failure, with jitter down to half.
+// backoff returns the delay before the next read. It doubles with each failure, up to a limit;
+// jitter reduces it by up to half.
 func (c *core) backoff() time.Duration {
-	limit := maxBootWait
-	if c.watch.watcher {
+	limit := maxInitialBackoff
+	if c.watch.isWatcher {
 		limit = maxBackoff
 	}
 	wait := min(minBackoff<<min(c.watch.failures-1, 10), limit)
 	return wait/2 + time.Duration(c.random.Int64N(int64(wait/2)))
 }
 
-// tickWatch reads again after a pause. A daemon that need not watch stops
-// asking once it is ready.
+// tickWatch reads the head again once the backoff has passed. A daemon that is not a watcher stops
+// reading once it is ready.
 func (c *core) tickWatch(now time.Time) {
-	if c.watch.step != WatchPausing || now.Before(c.watch.resumeAt) {
+	if c.watch.step != WatchPausing || now.Before(c.watch.retryAt) {
 		return
 	}
-	if !c.watch.watcher && c.ready {
+	if !c.watch.isWatcher && c.ready {
 		c.watch.step = WatchIdle
 		return
 	}
