--- a/internal/config/advise.go
+++ b/internal/config/advise.go
@@ -4,9 +4,10 @@
 
 const millisPerSecond = 1000
 
-// Advise returns what is allowed but probably not meant, such as a cap above
-// what its link carries. A document with warnings can be accepted: an operator
-// who squeezes a link in a hurry need not change the caps first.
+// Advise returns warnings about valid but probably unintended settings, such as
+// a shift cap that exceeds the capacity of its link. Warnings do not prevent a
+// document from being accepted, so that an operator can reduce the limit of a
+// link in an emergency without changing the caps first.
 func Advise(doc *Document) ([]Fault, error) {
 	effective, err := Effective(doc)
 	if err != nil {
@@ -14,9 +15,9 @@
 	}
 	snap := newSnapshot(0, &Encoded{}, effective)
 	a := &adviser{snap: snap}
-	a.links()
+	a.checkLinks()
 	for i := range effective.Services {
-		a.service(at("services", i), &effective.Services[i])
+		a.checkService(elementPath("services", i), &effective.Services[i])
 	}
 	return a.faults, nil
 }
@@ -27,9 +28,9 @@
 	snap *Snapshot
 }
 
-// service warns of requests that no route matches and of a service about to
-// end.
-func (a *adviser) service(path string, s *Service) {
+// checkService warns about requests that no route matches and about a service
+// whose targets are all leaving.
+func (a *adviser) checkService(path string, s *Service) {
 	if !matchesAll(s.Routes) {
 		a.report(path+".routes", "no route for some requests", "a last route that matches all requests")
 	}
@@ -38,28 +39,28 @@
 			return
 		}
 	}
-	a.report(path+".targets", "all leaving", "a target that stays; the service is about to end")
+	a.report(path+".targets", "all leaving", "at least one target that is not leaving; otherwise the service becomes unavailable")
 }
 
-// links warns of links that carry less than the shift caps allow when all
-// targets of the region that traffic comes from are busy.
-func (a *adviser) links() {
+// checkLinks warns about links whose limit is below the traffic that the shift
+// caps allow when all targets of the source region are busy.
+func (a *adviser) checkLinks() {
 	for i := range a.snap.Document.Links {
 		l := &a.snap.Document.Links[i]
 		allowed := 0.0
 		for _, svc := range a.snap.Services() {
-			allowed += a.fraction(l.From, l.To, svc.Name) * capacity(svc, l.From)
+			allowed += a.capFraction(l.From, l.To, svc.Name) * capacity(svc, l.From)
 		}
 		if limit := float64(l.RequestsPerSecond); allowed > limit {
-			a.report(at("links", i)+".requests_per_second", l.RequestsPerSecond,
+			a.report(elementPath("links", i)+".requests_per_second", l.RequestsPerSecond,
 				"about %s, which the shift caps allow at full load", fmt.Sprintf("%.0f", allowed))
 		}
 	}
 }
 
-// fraction returns the cap of a service on a way: its own, or else the one for
-// all services.
-func (a *adviser) fraction(from, to, service string) float64 {
+// capFraction returns the cap of a service between two regions: its own cap if
+// there is one, otherwise the cap for all services.
+func (a *adviser) capFraction(from, to, service string) float64 {
 	general := 0.0
 	for _, c := range a.snap.Document.ShiftCaps {
 		if c.From != from || c.To != to {
@@ -75,8 +76,8 @@
 	return general
 }
 
-// capacity returns the requests per second that a region's targets of a
-// service can run.
+// capacity returns the requests per second that the targets of a service in a
+// region can run.
 func capacity(svc *ServiceIndex, region string) float64 {
 	slots := 0
 	for _, t := range svc.TargetsByRegion[region] {
--- a/internal/config/advise_test.go
+++ b/internal/config/advise_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestAdviseNamesWhatIsProbablyNotMeant(t *testing.T) {
+func TestAdviseWarnings(t *testing.T) {
 	tests := []struct {
 		path   string
 		change func(*Document)
@@ -28,7 +28,7 @@
 				t.Errorf("got %v, %v", warnings, err)
 			}
 			if err := Validate(d); err != nil {
-				t.Errorf("refused: %v", err)
+				t.Errorf("Validate rejected the document: %v", err)
 			}
 		})
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,9 +9,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// Check reads a document from JSON with comments and validates it. The error
-// is an *InvalidError that holds the faults of Parse and, where the text can
-// be decoded all the same, those of Validate, each with its line.
+// Check parses and validates a document. The error is an *InvalidError with the
+// faults of Parse and, if the text can be decoded despite them, those of
+// Validate, each with its line number.
 func Check(raw []byte) (*Document, error) {
 	doc, err := Parse(raw)
 	if err == nil {
@@ -29,15 +29,15 @@
 		return nil, err
 	}
 	if doc == nil {
-		invalid.Faults = append(invalid.Faults, faultsBeyondShape(value.Clone())...)
+		invalid.Faults = append(invalid.Faults, validationFaults(value.Clone())...)
 	}
 	addLines(invalid.Faults, raw, &value)
 	return nil, invalid
 }
 
-// faultsBeyondShape returns the faults of Validate for a text with unknown or
-// repeated fields, none when it cannot be decoded.
-func faultsBeyondShape(value hujson.Value) []Fault {
+// validationFaults returns the faults of Validate for a text with unknown or
+// duplicate fields, or nil if it cannot be decoded.
+func validationFaults(value hujson.Value) []Fault {
 	value.Standardize()
 	doc, err := decode(value.Pack())
 	if err != nil {
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// addLines gives each fault the line of its value, or of the nearest one
-// around it when the value is not in the text.
+// addLines sets the line number of each fault to that of its value, or of the
+// innermost enclosing value if the value itself is missing from the text.
 func addLines(faults []Fault, raw []byte, value *hujson.Value) {
 	for i := range faults {
 		if faults[i].Line == 0 {
-			faults[i].Line = lineAt(raw, nearest(value, pointerOf(faults[i].Path)).StartOffset)
+			faults[i].Line = lineAt(raw, nearestValue(value, jsonPointer(faults[i].Path)).StartOffset)
 		}
 	}
 }
@@ -66,17 +66,18 @@
 
 var indexPattern = regexp.MustCompile(`\[(\d+)\]`)
 
-// pointerOf turns a path into a JSON pointer (RFC 6901); names of fields hold
-// no characters to escape.
-func pointerOf(path string) string {
+// jsonPointer converts a path to a JSON pointer (RFC 6901). Field names contain no
+// characters that need escaping.
+func jsonPointer(path string) string {
 	if path == "" {
 		return ""
 	}
 	return "/" + strings.ReplaceAll(indexPattern.ReplaceAllString(path, "/$1"), ".", "/")
 }
 
-// nearest returns the value at a pointer or the innermost one around it.
-func nearest(value *hujson.Value, pointer string) *hujson.Value {
+// nearestValue returns the value at a pointer, or the innermost value that encloses
+// it.
+func nearestValue(value *hujson.Value, pointer string) *hujson.Value {
 	for pointer != "" {
 		if found := value.Find(pointer); found != nil {
 			return found
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -4,9 +4,9 @@
 	"cmp"
 )
 
-// Defaults of optional fields. They are part of the document's meaning: all
-// daemons of a fleet must agree on them, so a default is never changed once
-// it has been released.
+// Defaults of optional fields. All daemons of a fleet must use the same defaults
+// to interpret a document identically, so a default must never change once it
+// has been released.
 const (
 	DefaultMaxVMs                       = 32
 	DefaultClassWeight                  = 1
@@ -37,8 +37,8 @@
 	DefaultCold                  Millis = 10_000
 )
 
-// SetDefaults fills optional fields that are zero and whose zero has no
-// meaning of its own.
+// SetDefaults fills in optional fields that are zero, except those for which zero
+// is a valid setting.
 func SetDefaults(doc *Document) {
 	setFleetDefaults(&doc.Fleet)
 	for i := range doc.Classes {
@@ -92,7 +92,7 @@
 }
 
 // Effective returns a copy of the document with all defaults filled in. The
-// document itself stays as it was written.
+// original is not modified.
 func Effective(doc *Document) (*Document, error) {
 	effective, err := Clone(doc)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return effective, nil
 }
 
-// Clone returns a deep copy.
+// Clone returns a deep copy of the document.
 func Clone(doc *Document) (*Document, error) {
 	raw, err := Encode(doc)
 	if err != nil {
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// ChangeKind is the kind of a change.
+// ChangeKind tells how an element or a field changed.
 type ChangeKind string
 
-// The kinds of changes.
+// Kinds of changes.
 const (
 	ChangeAdded    ChangeKind = "added"
 	ChangeRemoved  ChangeKind = "removed"
 	ChangeModified ChangeKind = "modified"
-	ChangeMoved    ChangeKind = "moved" // another place in a list whose order has a meaning
+	ChangeMoved    ChangeKind = "moved" // position changed in a list whose order matters
 )
 
-// Change is one difference between two documents.
+// Change describes one difference between two documents.
 type Change struct {
 	Kind    ChangeKind `json:"kind"`
-	Subject string     `json:"subject"`          // what changed, such as "target x"
+	Subject string     `json:"subject"`          // changed element, such as "target x"
 	Field   string     `json:"field,omitempty"`  // JSON name of the field, for ChangeModified
 	Before  string     `json:"before,omitempty"` // value as readable text
 	After   string     `json:"after,omitempty"`  // value as readable text
 }
 
-// String returns the change as one line, such as
+// String formats the change as a single line, such as
 // "cap rosario→buenos-aires max_fraction: 10% → 15%".
 func (c Change) String() string {
 	if c.Kind != ChangeModified {
@@ -41,12 +41,11 @@
 	return fmt.Sprintf("%s: %s → %s", what, c.Before, c.After)
 }
 
-// Diff returns the changes that lead from one document to another, in the
-// order of the document's fields. Elements of lists are matched by what
-// identifies them, not by their place.
+// Diff returns the changes between two documents, in the order of the document's
+// fields. List elements are matched by key, not by position.
 func Diff(before, after *Document) []Change {
 	d := &differ{}
-	d.structs("", reflect.ValueOf(before).Elem(), reflect.ValueOf(after).Elem())
+	d.diffStructs("", reflect.ValueOf(before).Elem(), reflect.ValueOf(after).Elem())
 	return d.changes
 }
 
@@ -54,29 +53,29 @@
 	changes []Change
 }
 
-// structs compares two structs of one type field by field.
-func (d *differ) structs(subject string, before, after reflect.Value) {
+// diffStructs compares two structs of the same type field by field.
+func (d *differ) diffStructs(subject string, before, after reflect.Value) {
 	t := before.Type()
 	for i := range t.NumField() {
-		d.field(subject, jsonName(t.Field(i)), before.Field(i), after.Field(i))
+		d.diffField(subject, jsonName(t.Field(i)), before.Field(i), after.Field(i))
 	}
 }
 
-func (d *differ) field(subject, name string, before, after reflect.Value) {
+func (d *differ) diffField(subject, name string, before, after reflect.Value) {
 	switch {
 	case before.Kind() == reflect.Struct:
-		d.structs(nested(subject, name), before, after)
+		d.diffStructs(fieldSubject(subject, name), before, after)
 	case before.Kind() == reflect.Slice && before.Type().Elem().Kind() == reflect.Struct:
-		d.lists(subject, before, after)
+		d.diffLists(subject, before, after)
 	case !equalValues(before, after):
 		d.changes = append(d.changes, Change{
 			Kind: ChangeModified, Subject: subject, Field: name,
-			Before: readable(name, before), After: readable(name, after),
+			Before: displayValue(name, before), After: displayValue(name, after),
 		})
 	}
 }
 
-func nested(subject, name string) string {
+func fieldSubject(subject, name string) string {
 	if subject == "" {
 		return name
 	}
@@ -90,53 +89,53 @@
 	return reflect.DeepEqual(a.Interface(), b.Interface())
 }
 
-// lists compares two lists of structs by the keys of their elements.
-func (d *differ) lists(subject string, before, after reflect.Value) {
-	old := keyed(before)
-	now := keyed(after)
+// diffLists compares two lists of structs whose elements are matched by key.
+func (d *differ) diffLists(subject string, before, after reflect.Value) {
+	old := newKeyedList(before)
+	now := newKeyedList(after)
 	for _, k := range old.order {
 		if _, ok := now.elements[k]; !ok {
-			d.whole(ChangeRemoved, subject, k)
+			d.addElementChange(ChangeRemoved, subject, k)
 		}
 	}
 	for _, k := range now.order {
 		element, ok := old.elements[k]
 		if !ok {
-			d.whole(ChangeAdded, subject, k)
+			d.addElementChange(ChangeAdded, subject, k)
 			continue
 		}
-		d.structs(inside(subject, k), element, now.elements[k])
+		d.diffStructs(elementSubject(subject, k), element, now.elements[k])
 	}
 	if isOrdered(before.Type().Elem()) {
-		d.moves(subject, old, now)
+		d.diffOrder(subject, old, now)
 	}
 }
 
-func (d *differ) whole(kind ChangeKind, subject, key string) {
-	d.changes = append(d.changes, Change{Kind: kind, Subject: inside(subject, key)})
+func (d *differ) addElementChange(kind ChangeKind, subject, key string) {
+	d.changes = append(d.changes, Change{Kind: kind, Subject: elementSubject(subject, key)})
 }
 
-// inside names an element together with what holds it. Targets have names of
-// their own over all services.
-func inside(subject, key string) string {
+// elementSubject qualifies the key of an element with the subject that contains it.
+// Target names are unique across services and are not qualified.
+func elementSubject(subject, key string) string {
 	if subject == "" || strings.HasPrefix(key, "target ") {
 		return key
 	}
 	return subject + " " + key
 }
 
-// moves reports common elements that stand in another order.
-func (d *differ) moves(subject string, old, now *keyedList) {
-	before := common(old, now)
-	after := common(now, old)
+// diffOrder reports elements of both lists whose relative order changed.
+func (d *differ) diffOrder(subject string, old, now *keyedList) {
+	before := commonKeys(old, now)
+	after := commonKeys(now, old)
 	for i := range before {
 		if before[i] != after[i] {
-			d.whole(ChangeMoved, subject, after[i])
+			d.addElementChange(ChangeMoved, subject, after[i])
 		}
 	}
 }
 
-func common(list, other *keyedList) []string {
+func commonKeys(list, other *keyedList) []string {
 	return slices.DeleteFunc(slices.Clone(list.order), func(k string) bool {
 		_, ok := other.elements[k]
 		return !ok
@@ -147,16 +146,16 @@
 	return t == reflect.TypeFor[Route]() || t == reflect.TypeFor[Service]()
 }
 
-// keyedList is a list with its elements by key, and the keys in order.
+// keyedList holds the elements of a list by key, and the keys in list order.
 type keyedList struct {
 	order    []string
 	elements map[string]reflect.Value
 }
 
-func keyed(list reflect.Value) *keyedList {
+func newKeyedList(list reflect.Value) *keyedList {
 	k := &keyedList{elements: make(map[string]reflect.Value, list.Len())}
 	for i := range list.Len() {
-		key := keyOf(list.Index(i).Addr().Interface())
+		key := elementKey(list.Index(i).Addr().Interface())
 		for n := 2; k.elements[key].IsValid(); n++ {
 			key = strings.TrimSuffix(key, " #"+strconv.Itoa(n-1)) + " #" + strconv.Itoa(n)
 		}
@@ -166,8 +165,8 @@
 	return k
 }
 
-// keyOf names an element of a list of the document by what identifies it.
-func keyOf(element any) string {
+// elementKey returns the key that identifies a list element of the document.
+func elementKey(element any) string {
 	switch e := element.(type) {
 	case *Region:
 		return "region " + e.Name
@@ -202,9 +201,9 @@
 
 const percent = 100
 
-// readable returns a value as text: fractions as percentages, empty values
-// as "none".
-func readable(field string, v reflect.Value) string {
+// displayValue formats a value for display: fractions as percentages, empty
+// strings and lists as "none".
+func displayValue(field string, v reflect.Value) string {
 	if v.Kind() == reflect.Float64 {
 		if strings.HasSuffix(field, "fraction") || strings.HasPrefix(field, "headroom") {
 			return strconv.FormatFloat(v.Float()*percent, 'g', 6, 64) + "%"
@@ -212,7 +211,7 @@
 		return strconv.FormatFloat(v.Float(), 'g', -1, 64)
 	}
 	if v.Kind() == reflect.Slice {
-		return readableList(v)
+		return displayList(v)
 	}
 	if v.IsZero() && v.Kind() == reflect.String {
 		return "none"
@@ -220,7 +219,7 @@
 	return fmt.Sprint(v.Interface())
 }
 
-func readableList(v reflect.Value) string {
+func displayList(v reflect.Value) string {
 	if v.Len() == 0 {
 		return "none"
 	}
--- a/internal/config/diff_test.go
+++ b/internal/config/diff_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestDiffReadsAsSentences(t *testing.T) {
+func TestDiffFormatsChanges(t *testing.T) {
 	tests := []struct {
 		want   string
 		change func(*Document)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestDiffSeesTheOrderOfRoutes(t *testing.T) {
+func TestDiffReportsRouteOrder(t *testing.T) {
 	before, after := validDocument(), validDocument()
 	before.Services[0].Routes = []Route{{PathPrefix: "a", Class: "read"}, {PathPrefix: "b", Class: "read"}}
 	after.Services[0].Routes = []Route{{PathPrefix: "b", Class: "read"}, {PathPrefix: "a", Class: "read"}}
@@ -48,20 +48,20 @@
 	}
 }
 
-func TestSchemaHoldsTheDescriptions(t *testing.T) {
+func TestSchemaContainsDescriptions(t *testing.T) {
 	raw, err := Schema()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(raw), "latency one way") {
-		t.Error("the schema does not hold the descriptions")
+	if !strings.Contains(string(raw), "one-way latency") {
+		t.Error("the schema does not contain the field descriptions")
 	}
-	if got := FieldDoc("Target", "Slots"); got != "requests it runs at once" {
+	if got := FieldDoc("Target", "Slots"); got != "maximum number of concurrent requests" {
 		t.Errorf("got %q", got)
 	}
 }
 
-func TestEffectiveKeepsWhatWasWritten(t *testing.T) {
+func TestEffectiveDoesNotModifyDocument(t *testing.T) {
 	written := validDocument()
 	effective, err := Effective(written)
 	if err != nil {
@@ -71,6 +71,6 @@
 		t.Errorf("written %+v, effective %+v", written.Fleet, effective.Fleet)
 	}
 	if effective.Classes[0].TimeoutMS != 1000 {
-		t.Error("a default replaced a written value")
+		t.Error("a default replaced an explicit value")
 	}
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,5 +1,5 @@
-// Package config holds the operators' one document: its schema, validation,
-// difference, and the immutable snapshot that daemons have in force.
+// Package config defines the configuration document: its schema, parsing,
+// validation, diff and merge, and the immutable snapshot that daemons run with.
 package config
 
 import "time"
@@ -10,172 +10,174 @@
 // Duration returns m as a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Document is the whole of what operators say. It is stored and put in force
-// as one value; nothing else configures the fleet.
+// Document is the complete configuration of a deployment. It is stored and
+// activated as a single value; the fleet has no other configuration.
 type Document struct {
 	Deployment   string        `json:"deployment"`              // name of the deployment
-	Fleet        Fleet         `json:"fleet"`                   // bounds on the fleet, from which per-VM shares follow
-	Regions      []Region      `json:"regions"`                 // regions with their availability zones
+	Fleet        Fleet         `json:"fleet"`                   // fleet size limits, from which per-VM shares are computed
+	Regions      []Region      `json:"regions"`                 // regions and their availability zones
 	Links        []Link        `json:"links"`                   // links between regions
-	Classes      []Class       `json:"classes"`                 // classes of requests
-	Tenants      []Tenant      `json:"tenants,omitempty"`       // tenants with their shares
-	Services     []Service     `json:"services"`                // services with routes and targets
-	Hosts        []Host        `json:"hosts,omitempty"`         // routing by host name, in place of the services' path prefixes
-	ShiftCaps    []ShiftCap    `json:"shift_caps"`              // how far traffic may shift
-	ClientBlocks []ClientBlock `json:"client_blocks,omitempty"` // where callers are
-	Lookup       Lookup        `json:"lookup"`                  // answers of look-ups
-	Drain        Drain         `json:"drain"`                   // planned stops
-	Limits       Limits        `json:"limits"`                  // what a caller may do
-	Retry        Retry         `json:"retry"`                   // retry budget
-	Steering     Steering      `json:"steering"`                // policy of target choice
-}
-
-// Fleet bounds the number of daemons. Every share that must add up over VMs
-// without agreement is divided by these bounds.
+	Classes      []Class       `json:"classes"`                 // request classes
+	Tenants      []Tenant      `json:"tenants,omitempty"`       // tenants and their fair-share weights
+	Services     []Service     `json:"services"`                // services with their routes and targets
+	Hosts        []Host        `json:"hosts,omitempty"`         // host-based routing, which replaces routing by the services' path prefixes
+	ShiftCaps    []ShiftCap    `json:"shift_caps"`              // limits on traffic shifted between regions
+	ClientBlocks []ClientBlock `json:"client_blocks,omitempty"` // locations of callers by address block
+	Lookup       Lookup        `json:"lookup"`                  // look-up answers
+	Drain        Drain         `json:"drain"`                   // draining of VMs and targets
+	Limits       Limits        `json:"limits"`                  // limits on connections, requests and recorded answers
+	Retry        Retry         `json:"retry"`                   // retries and hedging
+	Steering     Steering      `json:"steering"`                // target selection policy
+}
+
+// Fleet limits the number of daemons. Limits that apply to the whole fleet or to
+// a region are divided by these numbers, so that the per-VM shares stay within
+// the limit without coordination between VMs.
 type Fleet struct {
-	MaxVMs          int `json:"max_vms"`            // daemons in all, at most
-	MaxVMsPerRegion int `json:"max_vms_per_region"` // daemons of one region, at most
+	MaxVMs          int `json:"max_vms"`            // maximum number of daemons in total
+	MaxVMsPerRegion int `json:"max_vms_per_region"` // maximum number of daemons in one region
 }
 
-// Region is a region with its availability zones.
+// Region is a region and its availability zones.
 type Region struct {
 	Name  string   `json:"name"`
-	Zones []string `json:"zones"` // availability zones; names are unique over all regions
+	Zones []string `json:"zones"` // availability zone names, unique across all regions
 }
 
-// Link is a one-way link between two regions with its limits.
+// Link describes the network path from one region to another.
 type Link struct {
 	From              string `json:"from"`
 	To                string `json:"to"`
-	OneWayMS          Millis `json:"one_way_ms"`          // latency one way
-	RequestsPerSecond int    `json:"requests_per_second"` // limit over all services
-	BytesPerSecond    int64  `json:"bytes_per_second"`    // limit over all services
+	OneWayMS          Millis `json:"one_way_ms"`          // one-way latency
+	RequestsPerSecond int    `json:"requests_per_second"` // limit across all services
+	BytesPerSecond    int64  `json:"bytes_per_second"`    // limit across all services
 }
 
-// Class is a class of requests. Lower Priority numbers go first.
+// Class is a request class. Classes with lower Priority values are served first.
 type Class struct {
 	Name      string `json:"name"`
 	Priority  int    `json:"priority"`    // 0 is served first
-	Weight    int    `json:"weight"`      // share kept under overload, so that no class starves
-	MaxWaitMS Millis `json:"max_wait_ms"` // longest time in a queue before it is told 'not run'
-	TimeoutMS Millis `json:"timeout_ms"`  // default deadline of a request
+	Weight    int    `json:"weight"`      // share of capacity reserved under overload, to prevent starvation
+	MaxWaitMS Millis `json:"max_wait_ms"` // maximum time in the queue; after that the caller is told that the request was not run
+	TimeoutMS Millis `json:"timeout_ms"`  // default request timeout
 }
 
-// Tenant is a tenant of a service with its fair share within a class.
+// Tenant is a tenant of a service. Weight is its fair share within a class.
 type Tenant struct {
 	Name   string `json:"name"`
 	Weight int    `json:"weight"`
 }
 
-// Service is a service: the requests under its path prefix go to its targets.
+// Service routes the requests under a path prefix to a set of targets.
 type Service struct {
 	Name                  string   `json:"name"`
 	PathPrefix            string   `json:"path_prefix"` // such as "/planview/"
-	Routes                []Route  `json:"routes"`      // first match wins; the last one should match all
+	Routes                []Route  `json:"routes"`      // the first match wins; the last route should match all requests
 	Targets               []Target `json:"targets"`
-	ServiceMS             Millis   `json:"service_ms"`                         // expected time a request runs at a target, before it is measured
-	Connections           int      `json:"connections,omitempty"`              // each target takes that states no figure of its own
-	ColdMS                Millis   `json:"cold_ms,omitempty"`                  // how long a new target stays cold
-	ColdRequestsPerSecond float64  `json:"cold_requests_per_second,omitempty"` // rate a cold target bears; 0: no bound
+	ServiceMS             Millis   `json:"service_ms"`                         // expected execution time of a request at a target, used until measurements exist
+	Connections           int      `json:"connections,omitempty"`              // connection limit of targets that do not specify their own
+	ColdMS                Millis   `json:"cold_ms,omitempty"`                  // duration of the slow start of a new target
+	ColdRequestsPerSecond float64  `json:"cold_requests_per_second,omitempty"` // rate limit of a target during slow start; 0: unlimited
 }
 
-// Repeat says whether a request may be run more than once.
+// Repeat specifies whether a request may be executed more than once.
 type Repeat string
 
-// The values of Repeat. RepeatByMethod, the default, lets GET, HEAD, OPTIONS,
-// PUT and DELETE be repeated, and nothing else.
+// Values of Repeat. RepeatByMethod, the default, allows only GET, HEAD, OPTIONS,
+// PUT and DELETE to be repeated.
 const (
 	RepeatByMethod Repeat = ""
 	RepeatAllowed  Repeat = "allowed"
 	RepeatNever    Repeat = "never"
 )
 
-// Route tells class, tenant and repeatability of some requests of a service.
+// Route assigns a class, a tenant and request options to the matching requests
+// of a service.
 type Route struct {
-	Methods      []string `json:"methods,omitempty"`        // empty: all
-	PathPrefix   string   `json:"path_prefix"`              // below the service's prefix; "" matches all
+	Methods      []string `json:"methods,omitempty"`        // HTTP methods; empty: all
+	PathPrefix   string   `json:"path_prefix"`              // relative to the service's prefix; "" matches all paths
 	Class        string   `json:"class"`                    // name of a class
 	Tenant       string   `json:"tenant,omitempty"`         // name of a tenant
-	Repeat       Repeat   `json:"repeat,omitempty"`         // may it be run twice
-	RequireKey   bool     `json:"require_key,omitempty"`    // refuse without Idempotency-Key
-	TimeoutMS    Millis   `json:"timeout_ms,omitempty"`     // overrides the class
-	MaxTimeoutMS Millis   `json:"max_timeout_ms,omitempty"` // bounds what the caller asks for; 0: no bound
+	Repeat       Repeat   `json:"repeat,omitempty"`         // whether a request may be executed more than once
+	RequireKey   bool     `json:"require_key,omitempty"`    // reject requests without an Idempotency-Key header
+	TimeoutMS    Millis   `json:"timeout_ms,omitempty"`     // overrides the timeout of the class
+	MaxTimeoutMS Millis   `json:"max_timeout_ms,omitempty"` // upper limit of timeouts requested by callers; 0: unlimited
 	MaxBodyBytes int64    `json:"max_body_bytes,omitempty"` // overrides limits.max_body_bytes
 }
 
-// Target is one back end of a service.
+// Target is a server instance that runs the requests of a service.
 type Target struct {
-	Name        string `json:"name"` // unique over all services
+	Name        string `json:"name"` // unique across all services
 	Address     string `json:"address"`
 	Zone        string `json:"zone"`
-	Slots       int    `json:"slots"`              // requests it runs at once
-	Connections int    `json:"connections"`        // connections it takes, over all VMs
-	Leaving     bool   `json:"leaving,omitempty"`  // operators drain it
-	Instance    string `json:"instance,omitempty"` // one start of the target; sent along, so that another one at its address refuses
+	Slots       int    `json:"slots"`              // maximum number of concurrent requests
+	Connections int    `json:"connections"`        // maximum number of connections from all VMs together
+	Leaving     bool   `json:"leaving,omitempty"`  // the target is being drained
+	Instance    string `json:"instance,omitempty"` // ID of the running instance, sent with each request; a different instance at the same address rejects the request
 }
 
-// ShiftCap bounds how much of the traffic of callers in one region may be
-// served by targets in another one. Counted are requests, per service, within
-// each fixed window of WindowMS, as a fraction of the requests of the callers
-// of region From for that service in the window before.
+// ShiftCap limits how much of the traffic from callers in region From may be
+// served by targets in region To. Requests are counted per service in fixed
+// windows of WindowMS. The limit is a fraction of the requests that callers in
+// From sent to that service in the previous window.
 type ShiftCap struct {
 	From            string  `json:"from"`
 	To              string  `json:"to"`
-	Service         string  `json:"service,omitempty"` // empty: each service on its own
+	Service         string  `json:"service,omitempty"` // empty: applies to each service separately
 	MaxFraction     float64 `json:"max_fraction"`      // 0 to 1
-	MaxStepFraction float64 `json:"max_step_fraction"` // how much the fraction may change per window
+	MaxStepFraction float64 `json:"max_step_fraction"` // maximum change of the fraction per window
 	WindowMS        Millis  `json:"window_ms"`
 }
 
-// ClientBlock places the callers of an address block.
+// ClientBlock maps an address block to the location of its callers.
 type ClientBlock struct {
 	CIDR   string `json:"cidr"`
 	Region string `json:"region"`
-	Zone   string `json:"zone,omitempty"` // availability zone nearest to them
+	Zone   string `json:"zone,omitempty"` // nearest availability zone
 }
 
-// Lookup bounds the answers of look-ups.
+// Lookup configures the answers to look-ups.
 type Lookup struct {
-	Answers  int    `json:"answers"`    // VMs in an answer, at most
+	Answers  int    `json:"answers"`    // maximum number of VMs in an answer
 	MaxAgeMS Millis `json:"max_age_ms"` // how long callers may cache an answer
 }
 
-// Drain bounds planned stops.
+// Drain configures planned shutdowns of VMs and draining of targets.
 type Drain struct {
-	GraceMS       Millis `json:"grace_ms"`        // longest a VM waits for requests in flight
-	TargetQuietMS Millis `json:"target_quiet_ms"` // within this time a leaving target gets no new work
+	GraceMS       Millis `json:"grace_ms"`        // maximum time a VM waits for requests in flight
+	TargetQuietMS Millis `json:"target_quiet_ms"` // time after which a leaving target must receive no new requests
 }
 
-// Limits bounds what one caller may do.
+// Limits restricts requests, connections and the storage of recorded answers.
 type Limits struct {
 	MaxHeaderBytes        int    `json:"max_header_bytes"`
 	MaxBodyBytes          int64  `json:"max_body_bytes"`
 	HeaderTimeoutMS       Millis `json:"header_timeout_ms"`
-	IdleTimeoutMS         Millis `json:"idle_timeout_ms"`         // between bytes of a body
-	KeepAliveMS           Millis `json:"keep_alive_ms,omitempty"` // between requests on a connection; 0: the daemon's default
+	IdleTimeoutMS         Millis `json:"idle_timeout_ms"`         // maximum pause between bytes of a body
+	KeepAliveMS           Millis `json:"keep_alive_ms,omitempty"` // maximum idle time between requests on a connection; 0: the daemon's default
 	MaxConnectionsPerAddr int    `json:"max_connections_per_address"`
-	ReplayBodyBytes       int64  `json:"replay_body_bytes"`      // bodies up to this are kept to be retried
-	RecordedAnswerBytes   int64  `json:"recorded_answer_bytes"`  // largest answer kept under a key
-	RecordedAnswersBytes  int64  `json:"recorded_answers_bytes"` // all answers kept by a VM
-	RecordedAnswersMS     Millis `json:"recorded_answers_ms"`    // how long an answer is kept
+	ReplayBodyBytes       int64  `json:"replay_body_bytes"`      // maximum size of a request body that is buffered for retries
+	RecordedAnswerBytes   int64  `json:"recorded_answer_bytes"`  // maximum size of an answer recorded under an idempotency key
+	RecordedAnswersBytes  int64  `json:"recorded_answers_bytes"` // maximum total size of the answers recorded by a VM
+	RecordedAnswersMS     Millis `json:"recorded_answers_ms"`    // how long a recorded answer is kept
 }
 
-// Retry is the retry budget of each VM.
+// Retry configures retries, hedging and the retry budget of each VM.
 type Retry struct {
-	MaxAttempts    int     `json:"max_attempts"`           // attempts of one request, the first included
-	BudgetFraction float64 `json:"budget_fraction"`        // retries and hedges per first attempt
-	BudgetBurst    float64 `json:"budget_burst,omitempty"` // retries saved up at most, for each service and target
-	BackoffMS      Millis  `json:"backoff_ms"`             // first backoff; doubled, with jitter
-	HedgeAfterMS   Millis  `json:"hedge_after_ms"`         // 0: no hedges
-	Patient        bool    `json:"patient,omitempty"`      // a silent target is waited for up to the deadline: silence does not tell slow from dead
+	MaxAttempts    int     `json:"max_attempts"`           // maximum attempts per request, including the first
+	BudgetFraction float64 `json:"budget_fraction"`        // retries and hedges as a fraction of first attempts
+	BudgetBurst    float64 `json:"budget_burst,omitempty"` // maximum accumulated retries per service and target
+	BackoffMS      Millis  `json:"backoff_ms"`             // initial backoff; doubles with each retry, with jitter
+	HedgeAfterMS   Millis  `json:"hedge_after_ms"`         // delay before a hedged attempt; 0: no hedging
+	Patient        bool    `json:"patient,omitempty"`      // wait for an unresponsive target until the deadline, because it may be slow rather than down
 }
 
-// Steering chooses and tunes the policy.
+// Steering selects and configures the target selection policy.
 type Steering struct {
-	Policy         string  `json:"policy"`          // name of the policy of target choice
-	HeadroomWeight float64 `json:"headroom_weight"` // 0 (tail latency first) to 1 (headroom first)
-	HeadroomKeep   float64 `json:"headroom_keep"`   // fraction of a region's slots never granted to others
-	StaleMS        Millis  `json:"stale_ms"`        // a measurement older than this means caution
-	ProbeMS        Millis  `json:"probe_ms"`        // between probes of a target
-	ColdMS         Millis  `json:"cold_ms"`         // slow start of a cold target
+	Policy         string  `json:"policy"`          // name of the target selection policy
+	HeadroomWeight float64 `json:"headroom_weight"` // from 0 (favor tail latency) to 1 (favor headroom)
+	HeadroomKeep   float64 `json:"headroom_keep"`   // fraction of a region's slots that is never granted to other regions
+	StaleMS        Millis  `json:"stale_ms"`        // age beyond which a measurement is stale and target selection acts conservatively
+	ProbeMS        Millis  `json:"probe_ms"`        // interval between probes of a target
+	ColdMS         Millis  `json:"cold_ms"`         // slow-start duration of a cold target
 }
--- a/internal/config/encoded_test.go
+++ b/internal/config/encoded_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestSplitAndLoadGiveTheDocumentBack(t *testing.T) {
+func TestSplitAndLoadRoundTrip(t *testing.T) {
 	doc := validDocument()
 	e, err := Split(doc)
 	if err != nil {
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestBlocksLeftOutAreThoseOfTheSnapshotHeld(t *testing.T) {
+func TestOmittedBlocksAreTakenFromPreviousSnapshot(t *testing.T) {
 	doc := validDocument()
 	first, _ := Split(doc)
 	held, err := Load(1, first, nil)
@@ -36,17 +36,17 @@
 		t.Error("equal client blocks are not shared")
 	}
 	if next.Hash == held.Hash {
-		t.Error("different documents have one hash")
+		t.Error("different documents have the same hash")
 	}
 	doc.ClientBlocks[0].Zone = "n1"
 	third, _ := Split(doc)
 	third.Blocks = nil
 	if _, err := Load(3, third, held); err == nil {
-		t.Error("other client blocks were taken for those left out")
+		t.Error("Load substituted client blocks with a different hash for the omitted ones")
 	}
 }
 
-func TestHashCoversBothParts(t *testing.T) {
+func TestHashCoversClientBlocks(t *testing.T) {
 	doc := validDocument()
 	a, _ := Split(doc)
 	doc.ClientBlocks[0].Zone = ""
@@ -54,6 +54,6 @@
 	doc.ClientBlocks = nil
 	c, _ := Split(doc)
 	if a.Hash() == b.Hash() || b.Hash() == c.Hash() || c.BlocksHash != 0 {
-		t.Error("documents that differ in their client blocks have one hash")
+		t.Error("documents that differ in their client blocks have the same hash")
 	}
 }
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// maxFaults bounds how many faults of one document are reported.
+// maxFaults is the maximum number of faults reported for one document.
 const maxFaults = 1000
 
-// Fault is one thing wrong with a document.
+// Fault describes one validation failure in a document.
 type Fault struct {
 	Path    string `json:"path"`           // such as "services[1].targets[0].zone"
-	Value   string `json:"value"`          // what stands there, as JSON or as text
-	Allowed string `json:"allowed"`        // what may stand there
-	Line    int    `json:"line,omitempty"` // line of the text, from 1; 0 when not known
+	Value   string `json:"value"`          // actual value, as JSON or as text
+	Allowed string `json:"allowed"`        // description of the values that are allowed
+	Line    int    `json:"line,omitempty"` // line number in the text, starting at 1; 0 if unknown
 }
 
-// String returns the fault as one line of text.
+// String formats the fault as a single line.
 func (f Fault) String() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -30,13 +30,13 @@
 	return b.String()
 }
 
-// InvalidError is returned for a document that cannot be accepted. It holds
-// every fault found, up to a bound of 1,000.
+// InvalidError is returned for a document that fails parsing or validation. It
+// lists all faults found, up to 1,000.
 type InvalidError struct {
 	Faults []Fault
 }
 
-// Error implements error with one line for each fault.
+// Error returns a summary line followed by one line per fault.
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Faults)+1)
 	lines = append(lines, fmt.Sprintf("invalid document: %d fault(s)", len(e.Faults)))
@@ -46,7 +46,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// faultList collects faults up to maxFaults.
+// faultList collects up to maxFaults faults and drops the rest.
 type faultList struct {
 	faults []Fault
 }
@@ -57,12 +57,13 @@
 	}
 }
 
-// report adds a fault at a path with the value as found.
+// report adds a fault for the value at path. allowed and args form a format
+// string that describes the allowed values.
 func (l *faultList) report(path string, value any, allowed string, args ...any) {
-	l.add(Fault{Path: path, Value: showValue(value), Allowed: fmt.Sprintf(allowed, args...)})
+	l.add(Fault{Path: path, Value: formatValue(value), Allowed: fmt.Sprintf(allowed, args...)})
 }
 
-// err returns nil or an *InvalidError.
+// err returns nil if there are no faults, otherwise an *InvalidError.
 func (l *faultList) err() error {
 	if len(l.faults) == 0 {
 		return nil
@@ -70,7 +71,7 @@
 	return &InvalidError{Faults: l.faults}
 }
 
-func showValue(value any) string {
+func formatValue(value any) string {
 	switch v := value.(type) {
 	case string:
 		return strconv.Quote(v)
@@ -81,5 +82,5 @@
 	}
 }
 
-// at returns the path of an element of a list.
-func at(list string, i int) string { return list + "[" + strconv.Itoa(i) + "]" }
+// elementPath returns the path of the i-th element of a list.
+func elementPath(list string, i int) string { return list + "[" + strconv.Itoa(i) + "]" }
--- a/internal/config/hosts.go
+++ b/internal/config/hosts.go
@@ -7,30 +7,30 @@
 	"strings"
 )
 
-// Host routes the requests of one host name. A document with hosts routes by
-// host and longest path prefix; one without routes by the path prefixes of its
-// services.
+// Host routes the requests of one host name. If a document has hosts, requests
+// are routed by host name and longest path prefix; otherwise by the path prefixes
+// of the services.
 type Host struct {
-	Name  string `json:"name"` // host name without a port
+	Name  string `json:"name"` // host name without port
 	Rules []Rule `json:"rules"`
 }
 
-// Rule routes the requests below a path prefix of a host.
+// Rule routes the requests under a path prefix of a host.
 type Rule struct {
 	Name           string   `json:"name"`
 	PathPrefix     string   `json:"path_prefix"` // begins and ends with a slash
 	Parts          []Part   `json:"parts"`       // one or more services with their weights
 	Class          string   `json:"class"`       // name of a class
 	Repeat         Repeat   `json:"repeat"`
-	TimeoutMS      Millis   `json:"timeout_ms"`                // longest time a caller is kept waiting; 0: no bound
-	ObjectiveMS    Millis   `json:"objective_ms"`              // latency within which an answer is of full use; 0: none
-	MaxAttempts    int      `json:"max_attempts"`              // targets one request may be sent to
-	AllowedRegions []string `json:"allowed_regions,omitempty"` // regions it may run in; empty: all
-	Affinity       bool     `json:"affinity,omitempty"`        // targets that know an object answer sooner
-	Public         bool     `json:"public,omitempty"`          // needs no key in a document with customers
+	TimeoutMS      Millis   `json:"timeout_ms"`                // upper limit of the request timeout; 0: unlimited
+	ObjectiveMS    Millis   `json:"objective_ms"`              // latency objective of an answer; 0: none
+	MaxAttempts    int      `json:"max_attempts"`              // maximum number of targets that a request may be sent to
+	AllowedRegions []string `json:"allowed_regions,omitempty"` // regions in which requests may run; empty: all
+	Affinity       bool     `json:"affinity,omitempty"`        // prefer targets that have served the same object, because they answer faster
+	Public         bool     `json:"public,omitempty"`          // no key is required even if the document has customers
 }
 
-// Part is a share of a rule's requests that goes to one service.
+// Part assigns a weighted share of a rule's requests to a service.
 type Part struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"` // relative to the weights of the other parts
@@ -41,10 +41,11 @@
 	return len(r.AllowedRegions) == 0 || slices.Contains(r.AllowedRegions, region)
 }
 
-// hostTable finds the rule of a request.
+// hostTable maps lower-case host names to their rules, longest path prefix first.
 type hostTable map[string][]*Rule
 
-// newHostTable sorts the rules of each host by descending length of prefix.
+// newHostTable builds the table and sorts the rules of each host by descending
+// prefix length, so that the first match is the longest.
 func newHostTable(hosts []Host) hostTable {
 	t := make(hostTable, len(hosts))
 	for i := range hosts {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// hostName strips the port of a Host header and folds its case.
+// hostName strips the port from a Host header and converts it to lower case.
 func hostName(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -78,7 +79,7 @@
 	return strings.ToLower(host)
 }
 
-// route returns the rule as a Route, which is what the request path knows.
+// route converts the rule to a Route, the form that request processing expects.
 func (r *Rule) route() *Route {
 	return &Route{PathPrefix: r.PathPrefix, Class: r.Class, Repeat: r.Repeat, MaxTimeoutMS: r.TimeoutMS}
 }
--- a/internal/config/hosts_test.go
+++ b/internal/config/hosts_test.go
@@ -14,13 +14,13 @@
 	return doc
 }
 
-func TestValidHostsHaveNoFault(t *testing.T) {
+func TestValidHostsAreAccepted(t *testing.T) {
 	if err := Validate(documentWithHosts()); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestHostsAreValidated(t *testing.T) {
+func TestInvalidHostsAreReported(t *testing.T) {
 	tests := map[string]func(h *Host){
 		"hosts[0].name":                        func(h *Host) { h.Name = "" },
 		"hosts[0].rules":                       func(h *Host) { h.Rules = nil },
@@ -35,17 +35,17 @@
 		"hosts[0].rules[0].parts[0].weight":    func(h *Host) { h.Rules[0].Parts[0].Weight = 0 },
 		"hosts[0].rules[1].path_prefix":        func(h *Host) { r := h.Rules[0]; r.Name = "s"; h.Rules = append(h.Rules, r) },
 	}
-	for path, spoil := range tests {
+	for path, mutate := range tests {
 		doc := documentWithHosts()
-		spoil(&doc.Hosts[0])
+		mutate(&doc.Hosts[0])
 		var invalid *InvalidError
-		if err := Validate(doc); !errors.As(err, &invalid) || !names(invalid, path) {
+		if err := Validate(doc); !errors.As(err, &invalid) || !hasFaultAt(invalid, path) {
 			t.Errorf("%s: %v", path, err)
 		}
 	}
 }
 
-func names(invalid *InvalidError, path string) bool {
+func hasFaultAt(invalid *InvalidError, path string) bool {
 	for _, f := range invalid.Faults {
 		if f.Path == path {
 			return true
@@ -54,7 +54,7 @@
 	return false
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPathPrefixWins(t *testing.T) {
 	doc := documentWithHosts()
 	r := doc.Hosts[0].Rules[0]
 	r.Name, r.PathPrefix = "longer", "/a/b/"
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Merge puts the changes from base to mine on top of theirs, element by
-// element and field by field. Where both changed the same, mine is taken and
-// the place is named in overlaps, for the operator to look at. None of the
-// documents is changed; the result shares nothing with them.
+// Merge performs a three-way merge by element and field: it applies the changes
+// from base to mine to a copy of theirs. If both sides changed the same field or
+// element, mine wins and its name is added to overlaps for the operator to
+// review. The inputs are not modified, and the result shares no memory with them.
 func Merge(base, mine, theirs *Document) (merged *Document, overlaps []string, err error) {
 	merged, err = Clone(theirs)
 	if err != nil {
@@ -19,56 +19,57 @@
 		return nil, nil, err
 	}
 	m := &merger{}
-	m.structs("", valueOf(base), valueOf(own), valueOf(merged))
+	m.mergeStructs("", documentValue(base), documentValue(own), documentValue(merged))
 	return merged, m.overlaps, nil
 }
 
-func valueOf(doc *Document) reflect.Value { return reflect.ValueOf(doc).Elem() }
+func documentValue(doc *Document) reflect.Value { return reflect.ValueOf(doc).Elem() }
 
-// merger merges into the value named theirs.
+// merger performs the merge in place, in the value named theirs.
 type merger struct {
 	overlaps []string
 }
 
-func (m *merger) overlap(what string) { m.overlaps = append(m.overlaps, what) }
+func (m *merger) addOverlap(what string) { m.overlaps = append(m.overlaps, what) }
 
-func (m *merger) structs(subject string, base, mine, theirs reflect.Value) {
+func (m *merger) mergeStructs(subject string, base, mine, theirs reflect.Value) {
 	t := theirs.Type()
 	for i := range t.NumField() {
-		m.field(subject, jsonName(t.Field(i)), base.Field(i), mine.Field(i), theirs.Field(i))
+		m.mergeField(subject, jsonName(t.Field(i)), base.Field(i), mine.Field(i), theirs.Field(i))
 	}
 }
 
-func (m *merger) field(subject, name string, base, mine, theirs reflect.Value) {
+func (m *merger) mergeField(subject, name string, base, mine, theirs reflect.Value) {
 	switch {
 	case theirs.Kind() == reflect.Struct:
-		m.structs(nested(subject, name), base, mine, theirs)
+		m.mergeStructs(fieldSubject(subject, name), base, mine, theirs)
 	case theirs.Kind() == reflect.Slice && theirs.Type().Elem().Kind() == reflect.Struct:
-		theirs.Set(m.lists(subject, base, mine, theirs))
+		theirs.Set(m.mergeLists(subject, base, mine, theirs))
 	case equalValues(base, mine):
 	default:
 		if !equalValues(base, theirs) && !equalValues(mine, theirs) {
-			m.overlap(nested(subject, name))
+			m.addOverlap(fieldSubject(subject, name))
 		}
 		theirs.Set(mine)
 	}
 }
 
-// lists merges lists whose elements are matched by their keys.
-func (m *merger) lists(subject string, base, mine, theirs reflect.Value) reflect.Value {
-	old, own, other := keyed(base), keyed(mine), keyed(theirs)
+// mergeLists merges lists whose elements are matched by key.
+func (m *merger) mergeLists(subject string, base, mine, theirs reflect.Value) reflect.Value {
+	old, own, other := newKeyedList(base), newKeyedList(mine), newKeyedList(theirs)
 	out := reflect.MakeSlice(theirs.Type(), 0, theirs.Len())
 	for _, key := range mergedOrder(old, own, other) {
-		if element, ok := m.element(inside(subject, key), old.elements[key], own.elements[key], other.elements[key]); ok {
+		if element, ok := m.mergeElement(elementSubject(subject, key), old.elements[key], own.elements[key], other.elements[key]); ok {
 			out = reflect.Append(out, element)
 		}
 	}
 	return out
 }
 
-// element merges one element, whose values are invalid where it is missing. It
-// reports false when the element is not in the result.
-func (m *merger) element(subject string, old, own, other reflect.Value) (reflect.Value, bool) {
+// mergeElement merges one list element. A zero reflect.Value means that the
+// element is missing in that document. It returns false if the merged list does
+// not contain the element.
+func (m *merger) mergeElement(subject string, old, own, other reflect.Value) (reflect.Value, bool) {
 	switch {
 	case own.IsValid() && other.IsValid():
 		if !old.IsValid() {
@@ -76,32 +77,32 @@
 		}
 		result := reflect.New(other.Type()).Elem()
 		result.Set(other)
-		m.structs(subject, old, own, result)
+		m.mergeStructs(subject, old, own, result)
 		return result, true
 	case !old.IsValid() && own.IsValid():
 		return own, true
 	case !old.IsValid():
 		return other, true
-	case own.IsValid(): // removed by them
+	case own.IsValid(): // removed in theirs
 		if equalValues(old, own) {
 			return own, false
 		}
-		m.overlap(subject)
+		m.addOverlap(subject)
 		return own, true
-	default: // removed by me
+	default: // removed in mine
 		if other.IsValid() && !equalValues(old, other) {
-			m.overlap(subject)
+			m.addOverlap(subject)
 		}
 		return other, false
 	}
 }
 
-// mergedOrder returns the keys of both lists: in my order if I changed it, else
-// in theirs. A key that only the other list holds follows the one that it
-// follows there.
+// mergedOrder returns the keys of both lists, in the order of own if own changed
+// the order, otherwise in that of other. A key that only the second list has is
+// inserted after the key that precedes it there.
 func mergedOrder(old, own, other *keyedList) []string {
 	first, second := other, own
-	if !slices.Equal(common(own, old), common(old, own)) {
+	if !slices.Equal(commonKeys(own, old), commonKeys(old, own)) {
 		first, second = own, other
 	}
 	order := slices.Clone(first.order)
--- a/internal/config/merge_test.go
+++ b/internal/config/merge_test.go
@@ -44,7 +44,7 @@
 			[]string{"cap r1→r2 max_fraction"},
 		},
 		{
-			"both add",
+			"both add an element",
 			func(d *Document) { d.Services[0].Targets = append(d.Services[0].Targets, Target{Name: "mine"}) },
 			func(d *Document) { d.Services[0].Targets = append(d.Services[0].Targets, Target{Name: "theirs"}) },
 			func(d *Document) {
@@ -53,7 +53,7 @@
 			nil,
 		},
 		{
-			"a route keeps its place",
+			"an inserted route keeps its position",
 			func(d *Document) {
 				d.Services[0].Routes = slices.Insert(d.Services[0].Routes, 1, Route{Methods: []string{"POST"}, Class: "c"})
 			},
@@ -65,21 +65,21 @@
 			nil,
 		},
 		{
-			"I remove what they left alone",
+			"mine removes an element unchanged in theirs",
 			func(d *Document) { d.Services[0].Targets = d.Services[0].Targets[:1] },
 			func(d *Document) { d.Lookup.Answers = 9 },
 			func(d *Document) { d.Services[0].Targets = d.Services[0].Targets[:1]; d.Lookup.Answers = 9 },
 			nil,
 		},
 		{
-			"they remove what I changed",
+			"theirs removes an element changed in mine",
 			func(d *Document) { d.Services[0].Targets[1].Slots = 9 },
 			func(d *Document) { d.Services[0].Targets = d.Services[0].Targets[:1] },
 			func(d *Document) { d.Services[0].Targets[1].Slots = 9 },
 			[]string{"target t2"},
 		},
 		{
-			"they remove what I left alone",
+			"theirs removes an element unchanged in mine",
 			func(d *Document) { d.Lookup.Answers = 9 },
 			func(d *Document) { d.Regions = d.Regions[:1] },
 			func(d *Document) { d.Lookup.Answers = 9; d.Regions = d.Regions[:1] },
@@ -97,7 +97,7 @@
 				t.Fatal(err)
 			}
 			if changes := Diff(want, got); len(changes) > 0 {
-				t.Errorf("differs from what is wanted: %v", changes)
+				t.Errorf("merged document differs from the expected one: %v", changes)
 			}
 			if !slices.Equal(overlaps, c.overlaps) {
 				t.Errorf("overlaps %q, want %q", overlaps, c.overlaps)
--- a/internal/config/override.go
+++ b/internal/config/override.go
@@ -2,14 +2,14 @@
 
 import "masticturn/internal/customer"
 
-// overrideKey identifies a rule as it applies to a customer.
+// overrideKey identifies a rule with the overrides of a customer.
 type overrideKey struct {
 	rule     *Rule
 	customer *customer.Customer
 }
 
-// ForCustomer returns a match as it applies to a customer: the customer's class goes before the
-// rule's, and the allowed regions of both bind. ok is false if no region is allowed by both.
+// ForCustomer applies a customer's overrides to a match: the customer's class takes precedence over
+// the rule's, and only regions allowed by both remain. ok is false if no region is allowed by both.
 func (s *Snapshot) ForCustomer(m Match, c *customer.Customer) (match Match, ok bool) {
 	if m.Rule == nil || c.Class == "" && len(c.AllowedRegions) == 0 {
 		return m, true
@@ -24,7 +24,8 @@
 	return m, true
 }
 
-// override returns the rule for a customer, derived once per snapshot; nil if no region is allowed.
+// override returns the rule with the customer's overrides applied, or nil if no region is allowed.
+// The result is cached for the lifetime of the snapshot.
 func (s *Snapshot) override(rule *Rule, c *customer.Customer) *Rule {
 	key := overrideKey{rule, c}
 	if v, ok := s.overrides.Load(key); ok {
--- a/internal/config/override_test.go
+++ b/internal/config/override_test.go
@@ -7,7 +7,7 @@
 	"masticturn/internal/customer"
 )
 
-func TestCustomersOverrideRules(t *testing.T) {
+func TestCustomerOverridesRule(t *testing.T) {
 	doc := &Document{
 		Classes:  []Class{{Name: "low", Priority: 2}, {Name: "high", Priority: 0}},
 		Services: []Service{{Name: "s"}},
@@ -18,7 +18,7 @@
 	s := NewLiveSnapshot(1, doc)
 	m, ok := s.MatchRequest("h", "GET", "/x")
 	if !ok {
-		t.Fatal("no rule")
+		t.Fatal("no rule matches")
 	}
 	tests := map[string]struct {
 		customer customer.Customer
@@ -26,14 +26,14 @@
 		regions  []string
 		ok       bool
 	}{
-		"nothing of its own":      {customer.Customer{}, "low", []string{"r1", "r2"}, true},
-		"a class":                 {customer.Customer{Class: "high"}, "high", []string{"r1", "r2"}, true},
-		"regions":                 {customer.Customer{AllowedRegions: []string{"r2", "r3"}}, "low", []string{"r2"}, true},
-		"no region in common":     {customer.Customer{AllowedRegions: []string{"r3"}}, "", nil, false},
-		"a class that is unknown": {customer.Customer{Class: "other"}, "low", []string{"r1", "r2"}, true},
+		"no overrides":        {customer.Customer{}, "low", []string{"r1", "r2"}, true},
+		"a class":             {customer.Customer{Class: "high"}, "high", []string{"r1", "r2"}, true},
+		"regions":             {customer.Customer{AllowedRegions: []string{"r2", "r3"}}, "low", []string{"r2"}, true},
+		"no region in common": {customer.Customer{AllowedRegions: []string{"r3"}}, "", nil, false},
+		"an unknown class":    {customer.Customer{Class: "other"}, "low", []string{"r1", "r2"}, true},
 	}
 	for name, tt := range tests {
-		for range 2 { // derived, then remembered
+		for range 2 { // the second call uses the cached rule
 			got, ok := s.ForCustomer(m, &tt.customer)
 			if ok != tt.ok {
 				t.Fatalf("%s: allowed %t", name, ok)
@@ -47,6 +47,6 @@
 		}
 	}
 	if m.Rule.Class != "low" || len(m.Rule.AllowedRegions) != 2 {
-		t.Error("the document's rule was changed")
+		t.Error("the rule of the document was modified")
 	}
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -9,18 +9,18 @@
 	"github.com/tailscale/hujson"
 )
 
-// Bounds on the text of a document.
+// Limits on the text of a document.
 const (
-	// MaxDocumentBytes is the largest text of a document.
+	// MaxDocumentBytes is the maximum size of the text of a document.
 	MaxDocumentBytes = 64 << 20
-	// MaxDepth is the deepest nesting of objects and lists.
+	// MaxDepth is the maximum nesting depth of objects and lists.
 	MaxDepth = 16
 )
 
-// Parse reads a document from JSON with comments and trailing commas. Unknown
-// and repeated fields and values of the wrong type are refused, all of them
-// in one *InvalidError. Neither defaults nor the rules of Validate are
-// applied.
+// Parse decodes a document from JSON with comments and trailing commas. Unknown
+// fields, duplicate fields and values of the wrong type are all reported in one
+// *InvalidError. Parse neither fills in defaults nor applies the rules of
+// Validate.
 func Parse(raw []byte) (*Document, error) {
 	if len(raw) > MaxDocumentBytes {
 		return nil, invalid(fmt.Sprintf("%d bytes", len(raw)), fmt.Sprintf("at most %d bytes", MaxDocumentBytes))
@@ -47,7 +47,7 @@
 	return doc, nil
 }
 
-// Encode returns the whole document as compact JSON.
+// Encode returns the document, including its client blocks, as compact JSON.
 func Encode(doc *Document) ([]byte, error) {
 	raw, err := json.Marshal(doc)
 	if err != nil {
@@ -60,8 +60,9 @@
 	return &InvalidError{Faults: []Fault{{Value: value, Allowed: allowed}}}
 }
 
-// depthOf returns the deepest nesting of brackets outside strings and
-// comments. It runs before the parser, whose recursion is not bounded.
+// depthOf returns the maximum nesting depth of brackets outside strings and
+// comments. It must be checked before parsing, because the parser's recursion
+// is unbounded.
 func depthOf(raw []byte) int {
 	depth, deepest := 0, 0
 	for i := 0; i < len(raw); i++ {
@@ -80,7 +81,8 @@
 	return deepest
 }
 
-// endOfString returns the index of the quote that ends the string at start.
+// endOfString returns the index of the closing quote of the string at start, or
+// len(raw) if the string is not closed.
 func endOfString(raw []byte, start int) int {
 	for i := start + 1; i < len(raw); i++ {
 		switch raw[i] {
@@ -93,20 +95,20 @@
 	return len(raw)
 }
 
-// endOfComment returns the last index of the comment at start, or start when
-// there is none.
+// endOfComment returns the last index of the comment at start, or start if there
+// is no comment.
 func endOfComment(raw []byte, start int) int {
 	rest := raw[start:]
 	switch {
 	case bytes.HasPrefix(rest, []byte("//")):
-		return endOf(raw, start, "\n")
+		return endOfMark(raw, start, "\n")
 	case bytes.HasPrefix(rest, []byte("/*")):
-		return endOf(raw, start+1, "*/")
+		return endOfMark(raw, start+1, "*/")
 	}
 	return start
 }
 
-func endOf(raw []byte, from int, mark string) int {
+func endOfMark(raw []byte, from int, mark string) int {
 	i := bytes.Index(raw[from+1:], []byte(mark))
 	if i < 0 {
 		return len(raw)
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// faultsOf returns the faults of an error, failing the test when it has none.
+// faultsOf returns the faults of an *InvalidError and fails the test for any
+// other error.
 func faultsOf(t *testing.T, err error) []Fault {
 	t.Helper()
 	var invalid *InvalidError
@@ -16,7 +17,7 @@
 	return invalid.Faults
 }
 
-func TestParseReportsEveryFaultWithItsLine(t *testing.T) {
+func TestParseReportsAllFaultsWithLines(t *testing.T) {
 	text := `{
 	// comment with brackets [[[
 	"deployment": "x",
@@ -53,7 +54,7 @@
 	}
 }
 
-func TestParseBoundsDepthAndSyntax(t *testing.T) {
+func TestParseRejectsDeepNestingAndSyntaxErrors(t *testing.T) {
 	tests := []struct{ name, text, word string }{
 		{"deep", strings.Repeat("[", 1_000_000), "levels"},
 		{"cut", `{"deployment": "x"`, "JSON"},
@@ -72,9 +73,9 @@
 	}
 }
 
-// TestCheckReportsShapeAndRulesTogether has an unknown field beside faults
-// that only the rules see.
-func TestCheckReportsShapeAndRulesTogether(t *testing.T) {
+// TestCheckReportsParseAndValidationFaults checks a document that has an unknown
+// field as well as faults that only Validate detects.
+func TestCheckReportsParseAndValidationFaults(t *testing.T) {
 	text := `{
 	"color": 1,
 	"deployment": "x",
@@ -105,7 +106,7 @@
 	}
 }
 
-func TestStoredDocumentOfNewerBuildIsRead(t *testing.T) {
+func TestLoadIgnoresFieldsOfNewerBuild(t *testing.T) {
 	s, err := Load(3, &Encoded{Main: []byte(`{"deployment":"x","added_later":{"a":1}}`)}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -127,11 +128,11 @@
 		}
 		raw, err := Encode(doc)
 		if err != nil {
-			t.Fatalf("a parsed document cannot be encoded: %v", err)
+			t.Fatalf("Encode failed for a parsed document: %v", err)
 		}
 		again, err := Parse(raw)
 		if err != nil {
-			t.Fatalf("an encoded document cannot be parsed: %v", err)
+			t.Fatalf("Parse failed for an encoded document: %v", err)
 		}
 		if changes := Diff(doc, again); len(changes) > 0 {
 			t.Errorf("encoding changed the document: %v", changes)
--- a/internal/config/repository/packed.go
+++ b/internal/config/repository/packed.go
@@ -44,7 +44,7 @@
 	if e.Blocks, err = Decompress(p.Blocks); err != nil {
 		return nil, err
 	}
-	if got := config.HashOfBlocks(e.Blocks); got != p.BlocksHash {
+	if got := config.HashBlocks(e.Blocks); got != p.BlocksHash {
 		return nil, trace.CompareFailed("client blocks have hash %016x, their record says %016x", got, p.BlocksHash)
 	}
 	return e, nil
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -14,14 +14,14 @@
 	"github.com/invopop/jsonschema"
 )
 
-// documentSource is the source of the document's types, whose comments
-// describe the fields in the JSON Schema and in forms.
+// documentSource is the source code of the document's types. Its comments are
+// the field descriptions in the JSON Schema and in forms.
 //
 //go:embed document.go
 var documentSource string
 
-// Schema returns the JSON Schema of the document, with the comments of the
-// types as descriptions.
+// Schema returns the JSON Schema of the document. Descriptions are taken from the
+// comments of the Go types.
 func Schema() ([]byte, error) {
 	docs, err := fieldDocs()
 	if err != nil {
@@ -35,8 +35,8 @@
 	return raw, trace.Wrap(err, "encode schema")
 }
 
-// FieldDoc returns the description of a field by the names of its Go type and
-// field, such as "Link" and "OneWayMS"; "" when there is none.
+// FieldDoc returns the description of a field, given its Go type and field names,
+// such as "Link" and "OneWayMS". It returns "" if there is none.
 func FieldDoc(typeName, field string) string {
 	docs, err := fieldDocs()
 	if err != nil {
@@ -47,7 +47,8 @@
 
 func packagePath() string { return reflect.TypeFor[Document]().PkgPath() }
 
-// fieldDocs returns descriptions by "package.Type" and "package.Type.Field".
+// fieldDocs returns the descriptions, keyed by "package.Type" and
+// "package.Type.Field".
 var fieldDocs = sync.OnceValues(func() (map[string]string, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), "document.go", documentSource, parser.ParseComments)
 	if err != nil {
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -9,21 +9,21 @@
 	"github.com/tailscale/hujson"
 )
 
-// shape compares a parsed text with the types of the document.
-type shape struct {
+// shapeChecker checks a parsed text against the Go types of the document.
+type shapeChecker struct {
 	faultList
 	raw []byte
 }
 
-// checkShape reports every unknown field, repeated field and value of a wrong
+// checkShape reports all unknown fields, duplicate fields and values of the wrong
 // type.
 func checkShape(raw []byte, value *hujson.Value) error {
-	s := &shape{raw: raw}
+	s := &shapeChecker{raw: raw}
 	s.check("", value, reflect.TypeFor[Document]())
 	return s.err()
 }
 
-func (s *shape) check(path string, v *hujson.Value, t reflect.Type) {
+func (s *shapeChecker) check(path string, v *hujson.Value, t reflect.Type) {
 	switch t.Kind() {
 	case reflect.Struct:
 		s.checkObject(path, v, t)
@@ -34,10 +34,10 @@
 	}
 }
 
-func (s *shape) checkObject(path string, v *hujson.Value, t reflect.Type) {
+func (s *shapeChecker) checkObject(path string, v *hujson.Value, t reflect.Type) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		s.fault(path, v, "an object")
+		s.addFault(path, v, "an object")
 		return
 	}
 	fields := fieldsOf(t)
@@ -48,37 +48,38 @@
 		field, known := fields[name]
 		switch {
 		case !known:
-			s.fault(join(path, name), &member.Name, "one of the fields "+strings.Join(fieldNames(t), ", "))
+			s.addFault(joinPath(path, name), &member.Name, "one of the fields "+strings.Join(fieldNames(t), ", "))
 		case seen[name]:
-			s.fault(join(path, name), &member.Name, "each field once")
+			s.addFault(joinPath(path, name), &member.Name, "each field once")
 		default:
-			s.check(join(path, name), &member.Value, field)
+			s.check(joinPath(path, name), &member.Value, field)
 		}
 		seen[name] = true
 	}
 }
 
-// checkList accepts null for an empty list, as Encode writes it.
-func (s *shape) checkList(path string, v *hujson.Value, t reflect.Type) {
+// checkList accepts null as an empty list, because Encode writes nil slices as
+// null.
+func (s *shapeChecker) checkList(path string, v *hujson.Value, t reflect.Type) {
 	if isNull(v) {
 		return
 	}
 	list, ok := v.Value.(*hujson.Array)
 	if !ok {
-		s.fault(path, v, "a list")
+		s.addFault(path, v, "a list")
 		return
 	}
 	for i := range list.Elements {
-		s.check(at(path, i), &list.Elements[i], t.Elem())
+		s.check(elementPath(path, i), &list.Elements[i], t.Elem())
 	}
 }
 
-func (s *shape) checkLiteral(path string, v *hujson.Value, t reflect.Type) {
+func (s *shapeChecker) checkLiteral(path string, v *hujson.Value, t reflect.Type) {
 	literal, ok := v.Value.(hujson.Literal)
 	if ok && !isNull(v) && json.Unmarshal(literal, reflect.New(t).Interface()) == nil {
 		return
 	}
-	s.fault(path, v, allowedLiteral(t))
+	s.addFault(path, v, allowedLiteral(t))
 }
 
 func isNull(v *hujson.Value) bool {
@@ -99,16 +100,16 @@
 	}
 }
 
-func (s *shape) fault(path string, v *hujson.Value, allowed string) {
+func (s *shapeChecker) addFault(path string, v *hujson.Value, allowed string) {
 	s.add(Fault{
 		Path:    path,
-		Value:   describe(v),
+		Value:   describeValue(v),
 		Allowed: allowed,
 		Line:    lineAt(s.raw, v.StartOffset),
 	})
 }
 
-func describe(v *hujson.Value) string {
+func describeValue(v *hujson.Value) string {
 	switch v.Value.(type) {
 	case *hujson.Object:
 		return "an object"
@@ -118,14 +119,14 @@
 	return strings.TrimSpace(string(v.Value.(hujson.Literal)))
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-// fieldsOf returns the types of a struct's fields by their JSON names.
+// fieldsOf returns the types of the fields of a struct by JSON name.
 func fieldsOf(t reflect.Type) map[string]reflect.Type {
 	fields := make(map[string]reflect.Type, t.NumField())
 	for i := range t.NumField() {
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -8,18 +8,19 @@
 	"masticturn/internal/customer"
 )
 
-// Generation numbers accepted documents. It only rises.
+// Generation is the version number of an accepted document. It increases
+// monotonically.
 type Generation uint64
 
-// Snapshot is an accepted document with the tables derived from it. It is
+// Snapshot is an accepted document with the lookup tables derived from it. It is
 // immutable and shared by all requests.
 type Snapshot struct {
 	Generation Generation
-	Hash       uint64 // of the stored document
-	BlocksHash uint64 // of its client blocks; 0 when there are none
+	Hash       uint64 // hash of the stored document
+	BlocksHash uint64 // hash of the client blocks; 0 if there are none
 	Document   *Document
-	// Customers hold the keys that requests must carry; nil: no keys are needed. Only documents of a
-	// platform have customers.
+	// Customers holds the keys that requests must carry, or nil if no keys are required. Only documents
+	// of a platform have customers.
 	Customers *customer.Directory
 
 	regionOfZone map[string]string
@@ -32,14 +33,14 @@
 	overrides    sync.Map // overrideKey -> *Rule
 }
 
-// ServiceIndex is a service with its targets by region.
+// ServiceIndex is a service with its targets indexed by region.
 type ServiceIndex struct {
 	*Service
 	TargetsByRegion map[string][]*TargetIndex
 	AllTargets      []*TargetIndex
 }
 
-// TargetIndex is a target with where it is.
+// TargetIndex is a target with its service and region.
 type TargetIndex struct {
 	*Target
 	Service string
@@ -48,8 +49,8 @@
 
 type regionPair struct{ from, to string }
 
-// NewSnapshot derives the tables of a valid document. The document must not be
-// changed afterwards.
+// NewSnapshot builds the snapshot of a valid document. The document must not be
+// modified afterwards.
 func NewSnapshot(gen Generation, doc *Document) (*Snapshot, error) {
 	e, err := Split(doc)
 	if err != nil {
@@ -89,8 +90,9 @@
 	return s
 }
 
-// NewLiveSnapshot derives the tables of a document whose targets come and go
-// apart from it. It is not checked and has no hash.
+// NewLiveSnapshot builds a snapshot of a document whose targets are added and
+// removed at run time, independently of the stored configuration. The document
+// is not validated, and Hash is not computed from it.
 func NewLiveSnapshot(gen Generation, doc *Document) *Snapshot {
 	return newSnapshot(gen, &Encoded{}, doc)
 }
@@ -107,22 +109,22 @@
 	s.byName[svc.Name] = idx
 }
 
-// RegionOfZone returns the region of an availability zone, "" if unknown.
+// RegionOfZone returns the region of an availability zone, or "" if unknown.
 func (s *Snapshot) RegionOfZone(zone string) string { return s.regionOfZone[zone] }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (s *Snapshot) Service(name string) *ServiceIndex { return s.byName[name] }
 
-// Services returns all services in the document's order.
+// Services returns all services in document order.
 func (s *Snapshot) Services() []*ServiceIndex { return s.services }
 
-// Target returns the target of that name, or nil.
+// Target returns the target with the given name, or nil.
 func (s *Snapshot) Target(name string) *TargetIndex { return s.targets[name] }
 
-// Class returns the class of that name, or nil.
+// Class returns the class with the given name, or nil.
 func (s *Snapshot) Class(name string) *Class { return s.classes[name] }
 
-// Link returns the link between two regions, or nil.
+// Link returns the link from one region to another, or nil.
 func (s *Snapshot) Link(from, to string) *Link { return s.links[regionPair{from, to}] }
 
 // Match is the result of routing a request.
@@ -131,12 +133,12 @@
 	Route      *Route
 	Class      *Class
 	Repeatable bool
-	Rule       *Rule // nil in a document without hosts
+	Rule       *Rule // nil if the document has no hosts
 }
 
-// MatchRequest finds service, route and class of a request; ok is false when
-// none matches. The service of a rule with several parts is left open, for the
-// caller to choose.
+// MatchRequest returns the service, route and class of a request; ok is false if
+// nothing matches. If the rule has more than one part, Service is nil and the
+// calling code must choose one.
 func (s *Snapshot) MatchRequest(host, method, path string) (m Match, ok bool) {
 	if len(s.hosts) > 0 {
 		return s.matchHost(host, method, path)
@@ -198,10 +200,10 @@
 	return false
 }
 
-// Source hands out the snapshot in force. Current is one atomic load and
+// Source provides the snapshot in force. Current is a single atomic load and
 // returns nil until the first document is adopted.
 type Source interface {
 	Current() *Snapshot
-	// Subscribe calls f with each new snapshot, in order, from one goroutine.
+	// Subscribe calls f with each new snapshot, in order, from a single goroutine.
 	Subscribe(f func(*Snapshot)) (cancel func())
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Bounds on the values of a document.
+// Limits on the values of a document.
 const (
 	maxVMs          = 10_000
 	maxRegions      = 64
@@ -40,7 +40,7 @@
 
 const allowedName = "a name of 1 to 63 letters, digits, dots, dashes or underscores, beginning with a letter or digit"
 
-// validator checks one document with the tables it needs for cross-checks.
+// validator checks one document and holds the tables for cross-references.
 type validator struct {
 	faultList
 	doc          *Document
@@ -51,9 +51,9 @@
 	services     map[string]*Service
 }
 
-// Validate checks a document against all rules, as it will be in force: with
-// the defaults filled in. It returns nil or an *InvalidError with every fault.
-// The document is not changed.
+// Validate checks a document against all rules, with defaults filled in as they
+// will be in force. It returns nil or an *InvalidError with all faults. The
+// document is not modified.
 func Validate(doc *Document) error {
 	effective, err := Effective(doc)
 	if err != nil {
@@ -67,7 +67,7 @@
 		tenants:      make(map[string]bool),
 		services:     make(map[string]*Service),
 	}
-	v.name("deployment", effective.Deployment)
+	v.checkName("deployment", effective.Deployment)
 	v.checkFleet()
 	v.checkRegions()
 	v.checkLinks()
@@ -84,61 +84,61 @@
 	return v.err()
 }
 
-func (v *validator) name(path, name string) {
+func (v *validator) checkName(path, name string) {
 	if !namePattern.MatchString(name) {
 		v.report(path, name, allowedName)
 	}
 }
 
-// unique reports a name seen before.
-func (v *validator) unique(seen map[string]string, path, name string) {
+// checkUnique reports a fault if the name is already in seen, and records it otherwise.
+func (v *validator) checkUnique(seen map[string]string, path, name string) {
 	if first, ok := seen[name]; ok {
-		v.report(path, name, "a name not used before; %s has it", first)
+		v.report(path, name, "a unique name; it is already used by %s", first)
 		return
 	}
 	seen[name] = path
 }
 
-func (v *validator) count(path string, n, least, most int) {
+func (v *validator) checkCount(path string, n, least, most int) {
 	if n < least || n > most {
 		v.report(path, n, "%d to %d entries", least, most)
 	}
 }
 
-func inRange[T cmp.Ordered](v *validator, path string, value, least, most T) {
+func checkRange[T cmp.Ordered](v *validator, path string, value, least, most T) {
 	if value < least || value > most {
 		v.report(path, value, "%v to %v", least, most)
 	}
 }
 
-func (v *validator) knownRegion(path, name string) bool {
+func (v *validator) checkRegion(path, name string) bool {
 	if v.regions[name] {
 		return true
 	}
-	v.report(path, name, "a region of the document: %s", quoted(v.regions))
+	v.report(path, name, "a region of the document: %s", quotedNames(v.regions))
 	return false
 }
 
 func (v *validator) checkFleet() {
 	f := v.doc.Fleet
-	inRange(v, "fleet.max_vms", f.MaxVMs, 1, maxVMs)
-	inRange(v, "fleet.max_vms_per_region", f.MaxVMsPerRegion, 1, max(1, f.MaxVMs))
+	checkRange(v, "fleet.max_vms", f.MaxVMs, 1, maxVMs)
+	checkRange(v, "fleet.max_vms_per_region", f.MaxVMsPerRegion, 1, max(1, f.MaxVMs))
 }
 
 func (v *validator) checkRegions() {
-	v.count("regions", len(v.doc.Regions), 1, maxRegions)
+	v.checkCount("regions", len(v.doc.Regions), 1, maxRegions)
 	names := make(map[string]string)
 	zones := make(map[string]string)
 	for i, r := range v.doc.Regions {
-		path := at("regions", i)
-		v.name(path+".name", r.Name)
-		v.unique(names, path+".name", r.Name)
+		path := elementPath("regions", i)
+		v.checkName(path+".name", r.Name)
+		v.checkUnique(names, path+".name", r.Name)
 		v.regions[r.Name] = true
-		v.count(path+".zones", len(r.Zones), 1, maxZones)
+		v.checkCount(path+".zones", len(r.Zones), 1, maxZones)
 		for j, zone := range r.Zones {
-			zonePath := at(path+".zones", j)
-			v.name(zonePath, zone)
-			v.unique(zones, zonePath, zone)
+			zonePath := elementPath(path+".zones", j)
+			v.checkName(zonePath, zone)
+			v.checkUnique(zones, zonePath, zone)
 			v.regionOfZone[zone] = r.Name
 		}
 	}
@@ -147,76 +147,76 @@
 func (v *validator) checkLinks() {
 	seen := make(map[string]string)
 	for i, l := range v.doc.Links {
-		path := at("links", i)
-		v.knownRegion(path+".from", l.From)
-		v.knownRegion(path+".to", l.To)
+		path := elementPath("links", i)
+		v.checkRegion(path+".from", l.From)
+		v.checkRegion(path+".to", l.To)
 		if l.From == l.To {
 			v.report(path+".to", l.To, "a region other than from")
 		}
-		v.unique(seen, path, l.From+"→"+l.To)
-		inRange(v, path+".one_way_ms", l.OneWayMS, 0, maxOneWay)
-		inRange(v, path+".requests_per_second", l.RequestsPerSecond, 0, maxRate)
-		inRange(v, path+".bytes_per_second", l.BytesPerSecond, 0, maxBytes)
+		v.checkUnique(seen, path, l.From+"→"+l.To)
+		checkRange(v, path+".one_way_ms", l.OneWayMS, 0, maxOneWay)
+		checkRange(v, path+".requests_per_second", l.RequestsPerSecond, 0, maxRate)
+		checkRange(v, path+".bytes_per_second", l.BytesPerSecond, 0, maxBytes)
 	}
 }
 
 func (v *validator) checkClasses() {
-	v.count("classes", len(v.doc.Classes), 1, maxClasses)
+	v.checkCount("classes", len(v.doc.Classes), 1, maxClasses)
 	seen := make(map[string]string)
 	for i := range v.doc.Classes {
 		c := &v.doc.Classes[i]
-		path := at("classes", i)
-		v.name(path+".name", c.Name)
-		v.unique(seen, path+".name", c.Name)
+		path := elementPath("classes", i)
+		v.checkName(path+".name", c.Name)
+		v.checkUnique(seen, path+".name", c.Name)
 		v.classes[c.Name] = c
-		inRange(v, path+".priority", c.Priority, 0, maxPriority)
-		inRange(v, path+".weight", c.Weight, 1, maxWeight)
-		inRange(v, path+".max_wait_ms", c.MaxWaitMS, 1, maxTimeout)
-		inRange(v, path+".timeout_ms", c.TimeoutMS, 1, maxTimeout)
+		checkRange(v, path+".priority", c.Priority, 0, maxPriority)
+		checkRange(v, path+".weight", c.Weight, 1, maxWeight)
+		checkRange(v, path+".max_wait_ms", c.MaxWaitMS, 1, maxTimeout)
+		checkRange(v, path+".timeout_ms", c.TimeoutMS, 1, maxTimeout)
 		if c.MaxWaitMS >= c.TimeoutMS {
-			v.report(path+".max_wait_ms", c.MaxWaitMS, "less than timeout_ms (%d), or a request that waited cannot run", c.TimeoutMS)
+			v.report(path+".max_wait_ms", c.MaxWaitMS, "less than timeout_ms (%d), so that a queued request still has time to run", c.TimeoutMS)
 		}
 	}
 }
 
 func (v *validator) checkTenants() {
-	v.count("tenants", len(v.doc.Tenants), 0, maxTenants)
+	v.checkCount("tenants", len(v.doc.Tenants), 0, maxTenants)
 	seen := make(map[string]string)
 	for i, t := range v.doc.Tenants {
-		path := at("tenants", i)
-		v.name(path+".name", t.Name)
-		v.unique(seen, path+".name", t.Name)
+		path := elementPath("tenants", i)
+		v.checkName(path+".name", t.Name)
+		v.checkUnique(seen, path+".name", t.Name)
 		v.tenants[t.Name] = true
-		inRange(v, path+".weight", t.Weight, 1, maxWeight)
+		checkRange(v, path+".weight", t.Weight, 1, maxWeight)
 	}
 }
 
 func (v *validator) checkClientBlocks() {
-	v.count("client_blocks", len(v.doc.ClientBlocks), 0, maxClientBlocks)
+	v.checkCount("client_blocks", len(v.doc.ClientBlocks), 0, maxClientBlocks)
 	seen := make(map[netip.Prefix]int, len(v.doc.ClientBlocks))
 	for i, b := range v.doc.ClientBlocks {
-		path := at("client_blocks", i)
-		known := v.knownRegion(path+".region", b.Region)
+		path := elementPath("client_blocks", i)
+		known := v.checkRegion(path+".region", b.Region)
 		if b.Zone != "" && known && v.regionOfZone[b.Zone] != b.Region {
 			v.report(path+".zone", b.Zone, "an availability zone of region %q", b.Region)
 		}
 		prefix, err := netip.ParsePrefix(b.CIDR)
 		if err != nil || prefix != prefix.Masked() {
-			v.report(path+".cidr", b.CIDR, "an address block such as \"192.0.2.0/24\" with no bit set behind the prefix")
+			v.report(path+".cidr", b.CIDR, "an address block such as \"192.0.2.0/24\" with no bits set after the prefix")
 			continue
 		}
 		if first, ok := seen[prefix]; ok {
-			v.report(path+".cidr", b.CIDR, "a block not used before; %s has it", at("client_blocks", first))
+			v.report(path+".cidr", b.CIDR, "a unique block; it is already used by %s", elementPath("client_blocks", first))
 			continue
 		}
 		seen[prefix] = i
 	}
 }
 
-func quoted(names map[string]bool) string {
+func quotedNames(names map[string]bool) string {
 	sorted := make([]string, 0, len(names))
 	for name := range names {
-		sorted = append(sorted, showValue(name))
+		sorted = append(sorted, formatValue(name))
 	}
 	slices.Sort(sorted)
 	return joinNames(sorted)
--- a/internal/config/validate_policy.go
+++ b/internal/config/validate_policy.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// fractionTolerance allows for the rounding of fractions written in decimal.
+// fractionTolerance allows for rounding errors of decimal fractions.
 const fractionTolerance = 1e-9
 
 func (v *validator) checkShiftCaps() {
@@ -17,12 +17,12 @@
 	seen := make(map[string]string)
 	for i := range v.doc.ShiftCaps {
 		c := &v.doc.ShiftCaps[i]
-		path := at("shift_caps", i)
-		v.unique(seen, path, capKey(c))
+		path := elementPath("shift_caps", i)
+		v.checkUnique(seen, path, capKey(c))
 		v.checkCapValues(path, c)
-		known := v.knownRegion(path+".from", c.From) && v.knownRegion(path+".to", c.To)
+		known := v.checkRegion(path+".from", c.From) && v.checkRegion(path+".to", c.To)
 		if known && c.MaxFraction > 0 {
-			v.checkCapWay(path, c, links[regionPair{c.From, c.To}])
+			v.checkCapLink(path, c, links[regionPair{c.From, c.To}])
 		}
 	}
 	v.checkCapSums()
@@ -41,29 +41,29 @@
 		v.report(path+".to", c.To, "a region other than from")
 	}
 	if c.Service != "" && v.services[c.Service] == nil {
-		v.report(path+".service", c.Service, "empty, or a service of the document: %s", keysOf(v.services))
+		v.report(path+".service", c.Service, "empty, or a service of the document: %s", quotedKeys(v.services))
 	}
-	v.fraction(path+".max_fraction", c.MaxFraction)
-	v.fraction(path+".max_step_fraction", c.MaxStepFraction)
-	inRange(v, path+".window_ms", c.WindowMS, minShiftWindow, maxShiftWindow)
+	v.checkFraction(path+".max_fraction", c.MaxFraction)
+	v.checkFraction(path+".max_step_fraction", c.MaxStepFraction)
+	checkRange(v, path+".window_ms", c.WindowMS, minShiftWindow, maxShiftWindow)
 }
 
-func (v *validator) fraction(path string, f float64) {
+func (v *validator) checkFraction(path string, f float64) {
 	if !(f >= 0 && f <= 1) || math.IsNaN(f) {
-		v.report(path, f, "a fraction of 0 to 1")
+		v.report(path, f, "a fraction from 0 to 1")
 	}
 }
 
-// checkCapWay reports a cap that allows a shift which no link carries or no
-// target can take.
-func (v *validator) checkCapWay(path string, c *ShiftCap, link *Link) {
+// checkCapLink reports a cap that allows traffic without a usable link to the
+// destination region or without targets there.
+func (v *validator) checkCapLink(path string, c *ShiftCap, link *Link) {
 	switch {
 	case link == nil:
 		v.report(path+".max_fraction", c.MaxFraction, "0, because there is no link from %q to %q", c.From, c.To)
 	case link.RequestsPerSecond == 0 || link.BytesPerSecond == 0:
-		v.report(path+".max_fraction", c.MaxFraction, "0, because the link from %q to %q carries nothing", c.From, c.To)
+		v.report(path+".max_fraction", c.MaxFraction, "0, because a limit of the link from %q to %q is 0", c.From, c.To)
 	}
-	if !v.servedIn(c.To, c.Service) {
+	if !v.hasTargets(c.To, c.Service) {
 		v.report(path+".to", c.To, "a region with targets of %s", serviceText(c.Service))
 	}
 }
@@ -75,7 +75,7 @@
 	return fmt.Sprintf("service %q", service)
 }
 
-func (v *validator) servedIn(region, service string) bool {
+func (v *validator) hasTargets(region, service string) bool {
 	for i := range v.doc.Services {
 		s := &v.doc.Services[i]
 		if service != "" && s.Name != service {
@@ -90,9 +90,9 @@
 	return false
 }
 
-// checkCapSums reports a region and service whose caps together allow more
-// than all of the traffic to leave. A cap for one service replaces the cap
-// for each service on the same way.
+// checkCapSums reports regions and services whose caps add up to more than all
+// of the traffic. A cap for a specific service overrides the general cap between
+// the same regions.
 func (v *validator) checkCapSums() {
 	for _, r := range v.doc.Regions {
 		for i := range v.doc.Services {
@@ -123,18 +123,18 @@
 	return sum
 }
 
-// checkTimes checks look-ups and drains, and that a planned stop lasts long
-// enough for callers that have cached a look-up and for the longest request.
+// checkTimes checks the settings of look-ups and draining. The drain grace period
+// must cover callers that have cached a look-up answer, plus the longest request.
 func (v *validator) checkTimes() {
 	l, d := v.doc.Lookup, v.doc.Drain
-	inRange(v, "lookup.answers", l.Answers, 1, maxLookupAnswers)
-	inRange(v, "lookup.max_age_ms", l.MaxAgeMS, 1, maxLookupAge)
-	inRange(v, "drain.grace_ms", d.GraceMS, 1, maxMillis)
-	inRange(v, "drain.target_quiet_ms", d.TargetQuietMS, 1, maxTargetQuiet)
+	checkRange(v, "lookup.answers", l.Answers, 1, maxLookupAnswers)
+	checkRange(v, "lookup.max_age_ms", l.MaxAgeMS, 1, maxLookupAge)
+	checkRange(v, "drain.grace_ms", d.GraceMS, 1, maxMillis)
+	checkRange(v, "drain.target_quiet_ms", d.TargetQuietMS, 1, maxTargetQuiet)
 	longest := v.longestTimeout()
 	if d.GraceMS < l.MaxAgeMS+longest {
 		v.report("drain.grace_ms", d.GraceMS,
-			"at least lookup.max_age_ms (%d) and the longest timeout of a request (%d) together", l.MaxAgeMS, longest)
+			"at least the sum of lookup.max_age_ms (%d) and the longest request timeout (%d)", l.MaxAgeMS, longest)
 	}
 }
 
@@ -154,40 +154,40 @@
 
 func (v *validator) checkLimits() {
 	l := v.doc.Limits
-	inRange(v, "limits.max_header_bytes", l.MaxHeaderBytes, 1<<10, 1<<20)
-	inRange(v, "limits.max_body_bytes", l.MaxBodyBytes, 1, maxBytes)
-	inRange(v, "limits.header_timeout_ms", l.HeaderTimeoutMS, 1, maxTimeout)
-	inRange(v, "limits.idle_timeout_ms", l.IdleTimeoutMS, 1, maxTimeout)
-	inRange(v, "limits.max_connections_per_address", l.MaxConnectionsPerAddr, 1, maxConnections)
-	inRange(v, "limits.replay_body_bytes", l.ReplayBodyBytes, 0, 16<<20)
-	inRange(v, "limits.recorded_answer_bytes", l.RecordedAnswerBytes, 1, maxBytes)
-	inRange(v, "limits.recorded_answers_bytes", l.RecordedAnswersBytes, 1, maxBytes)
-	inRange(v, "limits.recorded_answers_ms", l.RecordedAnswersMS, 1, maxMillis)
+	checkRange(v, "limits.max_header_bytes", l.MaxHeaderBytes, 1<<10, 1<<20)
+	checkRange(v, "limits.max_body_bytes", l.MaxBodyBytes, 1, maxBytes)
+	checkRange(v, "limits.header_timeout_ms", l.HeaderTimeoutMS, 1, maxTimeout)
+	checkRange(v, "limits.idle_timeout_ms", l.IdleTimeoutMS, 1, maxTimeout)
+	checkRange(v, "limits.max_connections_per_address", l.MaxConnectionsPerAddr, 1, maxConnections)
+	checkRange(v, "limits.replay_body_bytes", l.ReplayBodyBytes, 0, 16<<20)
+	checkRange(v, "limits.recorded_answer_bytes", l.RecordedAnswerBytes, 1, maxBytes)
+	checkRange(v, "limits.recorded_answers_bytes", l.RecordedAnswersBytes, 1, maxBytes)
+	checkRange(v, "limits.recorded_answers_ms", l.RecordedAnswersMS, 1, maxMillis)
 	if l.RecordedAnswerBytes > l.RecordedAnswersBytes {
 		v.report("limits.recorded_answer_bytes", l.RecordedAnswerBytes,
-			"at most recorded_answers_bytes (%d), of which it is a part", l.RecordedAnswersBytes)
+			"at most recorded_answers_bytes (%d), which limits the total", l.RecordedAnswersBytes)
 	}
 }
 
 func (v *validator) checkRetry() {
 	r := v.doc.Retry
-	inRange(v, "retry.max_attempts", r.MaxAttempts, 1, maxAttempts)
-	v.fraction("retry.budget_fraction", r.BudgetFraction)
-	inRange(v, "retry.backoff_ms", r.BackoffMS, 1, maxTimeout)
-	inRange(v, "retry.hedge_after_ms", r.HedgeAfterMS, 0, maxTimeout)
+	checkRange(v, "retry.max_attempts", r.MaxAttempts, 1, maxAttempts)
+	v.checkFraction("retry.budget_fraction", r.BudgetFraction)
+	checkRange(v, "retry.backoff_ms", r.BackoffMS, 1, maxTimeout)
+	checkRange(v, "retry.hedge_after_ms", r.HedgeAfterMS, 0, maxTimeout)
 }
 
 func (v *validator) checkSteering() {
 	s := v.doc.Steering
 	if s.Policy != "" {
-		v.name("steering.policy", s.Policy)
+		v.checkName("steering.policy", s.Policy)
 	}
-	v.fraction("steering.headroom_weight", s.HeadroomWeight)
-	v.fraction("steering.headroom_keep", s.HeadroomKeep)
-	inRange(v, "steering.stale_ms", s.StaleMS, 1, maxTimeout)
-	inRange(v, "steering.probe_ms", s.ProbeMS, minProbe, maxTimeout)
-	inRange(v, "steering.cold_ms", s.ColdMS, 1, maxTimeout)
+	v.checkFraction("steering.headroom_weight", s.HeadroomWeight)
+	v.checkFraction("steering.headroom_keep", s.HeadroomKeep)
+	checkRange(v, "steering.stale_ms", s.StaleMS, 1, maxTimeout)
+	checkRange(v, "steering.probe_ms", s.ProbeMS, minProbe, maxTimeout)
+	checkRange(v, "steering.cold_ms", s.ColdMS, 1, maxTimeout)
 	if s.ProbeMS >= s.StaleMS {
-		v.report("steering.probe_ms", s.ProbeMS, "less than stale_ms (%d), or every measurement is stale", s.StaleMS)
+		v.report("steering.probe_ms", s.ProbeMS, "less than stale_ms (%d); otherwise measurements become stale between probes", s.StaleMS)
 	}
 }
--- a/internal/config/validate_services.go
+++ b/internal/config/validate_services.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxNamesShown bounds the names listed in a fault.
+// maxNamesShown is the maximum number of names listed in a fault.
 const maxNamesShown = 20
 
 func joinNames(names []string) string {
@@ -17,7 +17,8 @@
 	return strings.Join(names, ", ")
 }
 
-// serviceNames are the names that must be unique over all services.
+// serviceNames holds the names and addresses that must be unique across all
+// services, each with the path where it was first used.
 type serviceNames struct {
 	services  map[string]string
 	targets   map[string]string
@@ -25,46 +26,47 @@
 }
 
 func (v *validator) checkServices() {
-	v.count("services", len(v.doc.Services), 1, maxServices)
+	v.checkCount("services", len(v.doc.Services), 1, maxServices)
 	names := &serviceNames{
 		services:  make(map[string]string),
 		targets:   make(map[string]string),
 		addresses: make(map[string]string),
 	}
 	for i := range v.doc.Services {
-		v.checkService(at("services", i), &v.doc.Services[i], names)
+		v.checkService(elementPath("services", i), &v.doc.Services[i], names)
 	}
 	v.checkPrefixes()
 }
 
 func (v *validator) checkService(path string, s *Service, names *serviceNames) {
-	v.name(path+".name", s.Name)
-	v.unique(names.services, path+".name", s.Name)
+	v.checkName(path+".name", s.Name)
+	v.checkUnique(names.services, path+".name", s.Name)
 	v.services[s.Name] = s
 	if !strings.HasPrefix(s.PathPrefix, "/") || !strings.HasSuffix(s.PathPrefix, "/") {
 		v.report(path+".path_prefix", s.PathPrefix, "a path that begins and ends with a slash")
 	}
-	inRange(v, path+".service_ms", s.ServiceMS, 1, maxTimeout)
-	v.count(path+".routes", len(s.Routes), 1, maxServices)
+	checkRange(v, path+".service_ms", s.ServiceMS, 1, maxTimeout)
+	v.checkCount(path+".routes", len(s.Routes), 1, maxServices)
 	for i := range s.Routes {
-		v.checkRoute(at(path+".routes", i), &s.Routes[i])
+		v.checkRoute(elementPath(path+".routes", i), &s.Routes[i])
 	}
 	v.checkRouteOrder(path, s.Routes)
 	if len(s.Targets) == 0 {
-		v.report(path+".targets", "no target", "1 to %d entries; a service without targets cannot answer", maxTargets)
+		v.report(path+".targets", "no target", "1 to %d entries; a service without targets cannot answer requests", maxTargets)
 	}
 	for i := range s.Targets {
-		v.checkTarget(at(path+".targets", i), &s.Targets[i], names)
+		v.checkTarget(elementPath(path+".targets", i), &s.Targets[i], names)
 	}
 }
 
-// checkPrefixes reports services that an earlier one keeps from being found.
+// checkPrefixes reports services that are unreachable because an earlier service
+// matches all requests under their prefix.
 func (v *validator) checkPrefixes() {
 	for i, s := range v.doc.Services {
 		for j, earlier := range v.doc.Services[:i] {
 			if strings.HasPrefix(s.PathPrefix, earlier.PathPrefix) && matchesAll(earlier.Routes) {
-				v.report(at("services", i)+".path_prefix", s.PathPrefix,
-					"a prefix that no earlier service takes; %s takes %q", at("services", j), earlier.PathPrefix)
+				v.report(elementPath("services", i)+".path_prefix", s.PathPrefix,
+					"a prefix that no earlier service covers; %s covers %q", elementPath("services", j), earlier.PathPrefix)
 			}
 		}
 	}
@@ -77,27 +79,27 @@
 func (v *validator) checkRoute(path string, r *Route) {
 	for i, method := range r.Methods {
 		if !slices.Contains(knownMethods, method) {
-			v.report(at(path+".methods", i), method, "one of %s", strings.Join(knownMethods, ", "))
+			v.report(elementPath(path+".methods", i), method, "one of %s", strings.Join(knownMethods, ", "))
 		}
 	}
 	if strings.HasPrefix(r.PathPrefix, "/") {
-		v.report(path+".path_prefix", r.PathPrefix, "a path below the service's prefix, without a slash in front")
+		v.report(path+".path_prefix", r.PathPrefix, "a path relative to the service's prefix, without a leading slash")
 	}
 	class, ok := v.classes[r.Class]
 	if !ok {
-		v.report(path+".class", r.Class, "a class of the document: %s", keysOf(v.classes))
+		v.report(path+".class", r.Class, "a class of the document: %s", quotedKeys(v.classes))
 	}
 	if r.Tenant != "" && !v.tenants[r.Tenant] {
-		v.report(path+".tenant", r.Tenant, "a tenant of the document: %s", quoted(v.tenants))
+		v.report(path+".tenant", r.Tenant, "a tenant of the document: %s", quotedNames(v.tenants))
 	}
 	if r.Repeat != RepeatByMethod && r.Repeat != RepeatAllowed && r.Repeat != RepeatNever {
 		v.report(path+".repeat", r.Repeat, `"", "allowed" or "never"`)
 	}
-	inRange(v, path+".timeout_ms", r.TimeoutMS, 0, maxTimeout)
+	checkRange(v, path+".timeout_ms", r.TimeoutMS, 0, maxTimeout)
 	if ok && r.TimeoutMS > 0 && r.TimeoutMS <= class.MaxWaitMS {
 		v.report(path+".timeout_ms", r.TimeoutMS, "0, or more than max_wait_ms (%d) of class %q", class.MaxWaitMS, r.Class)
 	}
-	inRange(v, path+".max_body_bytes", r.MaxBodyBytes, 0, maxBytes)
+	checkRange(v, path+".max_body_bytes", r.MaxBodyBytes, 0, maxBytes)
 }
 
 var knownMethods = []string{
@@ -105,39 +107,40 @@
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// checkRouteOrder reports routes behind one that matches all requests.
+// checkRouteOrder reports the first route that is unreachable because an earlier
+// one matches all requests.
 func (v *validator) checkRouteOrder(path string, routes []Route) {
 	for i := 1; i < len(routes); i++ {
 		if matchesAll(routes[:i]) {
-			v.report(at(path+".routes", i), routes[i].PathPrefix, "no route behind one that matches all requests")
+			v.report(elementPath(path+".routes", i), routes[i].PathPrefix, "no route after one that matches all requests")
 			return
 		}
 	}
 }
 
 func (v *validator) checkTarget(path string, t *Target, names *serviceNames) {
-	v.name(path+".name", t.Name)
-	v.unique(names.targets, path+".name", t.Name)
+	v.checkName(path+".name", t.Name)
+	v.checkUnique(names.targets, path+".name", t.Name)
 	address, err := netip.ParseAddrPort(t.Address)
 	if err != nil || address.Port() == 0 {
 		v.report(path+".address", t.Address, "an IP address with a port, such as \"192.0.2.7:8080\"")
 	} else {
-		v.unique(names.addresses, path+".address", t.Address)
+		v.checkUnique(names.addresses, path+".address", t.Address)
 	}
 	if v.regionOfZone[t.Zone] == "" {
-		v.report(path+".zone", t.Zone, "an availability zone of the document: %s", keysOf(v.regionOfZone))
+		v.report(path+".zone", t.Zone, "an availability zone of the document: %s", quotedKeys(v.regionOfZone))
 	}
-	inRange(v, path+".slots", t.Slots, 1, maxSlots)
-	inRange(v, path+".connections", t.Connections, 1, maxConnections)
+	checkRange(v, path+".slots", t.Slots, 1, maxSlots)
+	checkRange(v, path+".connections", t.Connections, 1, maxConnections)
 	if t.Connections < t.Slots {
-		v.report(path+".connections", t.Connections, "at least slots (%d); each running request holds a connection", t.Slots)
+		v.report(path+".connections", t.Connections, "at least slots (%d); each running request uses a connection", t.Slots)
 	}
 }
 
-func keysOf[V any](m map[string]V) string {
+func quotedKeys[V any](m map[string]V) string {
 	set := make(map[string]bool, len(m))
 	for name := range m {
 		set[name] = true
 	}
-	return quoted(set)
+	return quotedNames(set)
 }
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// validDocument is a small document without faults.
+// validDocument returns a small valid document.
 func validDocument() *Document {
 	return &Document{
 		Deployment: "test",
@@ -35,17 +35,17 @@
 	}
 }
 
-func TestValidDocumentHasNoFault(t *testing.T) {
+func TestValidDocumentIsAccepted(t *testing.T) {
 	if err := Validate(validDocument()); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestValidateNamesThePath(t *testing.T) {
+func TestValidateReportsPath(t *testing.T) {
 	type doc = Document
 	tests := []struct {
-		path  string
-		spoil func(*doc)
+		path   string
+		mutate func(*doc)
 	}{
 		{"deployment", func(d *doc) { d.Deployment = "" }},
 		{"fleet.max_vms_per_region", func(d *doc) { d.Fleet = Fleet{MaxVMs: 3, MaxVMsPerRegion: 4} }},
@@ -99,7 +99,7 @@
 	for _, tt := range tests {
 		t.Run(tt.path, func(t *testing.T) {
 			d := validDocument()
-			tt.spoil(d)
+			tt.mutate(d)
 			faults := faultsOf(t, Validate(d))
 			if !slices.ContainsFunc(faults, func(f Fault) bool { return f.Path == tt.path }) {
 				t.Errorf("no fault at %s: %v", tt.path, faults)
@@ -108,20 +108,20 @@
 	}
 }
 
-func TestValidateReportsAllFaultsAtOnceAndChangesNothing(t *testing.T) {
+func TestValidateReportsAllFaultsWithoutModifyingDocument(t *testing.T) {
 	d := validDocument()
 	d.Links[0].To = "west"
 	d.Services[0].Targets[0].Zone = "x"
 	d.ClientBlocks[0].CIDR = "nonsense"
 	if got := len(faultsOf(t, Validate(d))); got < 3 {
-		t.Errorf("%d faults, want all three at least", got)
+		t.Errorf("%d faults, want at least 3", got)
 	}
 	if d.Lookup.Answers != 0 {
 		t.Error("Validate filled in defaults")
 	}
 }
 
-func TestFaultsAreBounded(t *testing.T) {
+func TestNumberOfFaultsIsLimited(t *testing.T) {
 	d := validDocument()
 	d.ClientBlocks = make([]ClientBlock, 10*maxFaults)
 	if got := len(faultsOf(t, Validate(d))); got != maxFaults {
