--- a/internal/config/repository/error.go
+++ b/internal/config/repository/error.go
@@ -8,29 +8,28 @@
 	"masticturn/internal/config"
 )
 
-// ErrNoDocument is returned while no document has ever been accepted, as far
-// as the read can tell.
+// ErrNoDocument is returned if the store has no document. The read may be stale.
 var ErrNoDocument = errors.New("no document has been applied yet")
 
-// ConflictError is returned when another document was accepted since the
-// generation that the operator started from. Nothing was written.
+// ConflictError is returned if another document was accepted after the generation
+// that the operator started from. Nothing was written.
 type ConflictError struct {
 	Base    config.Generation // generation the operator started from
-	Current Record            // what stands instead
-	Theirs  []config.Change   // from the base to the current document; nil when the base is no longer kept
-	Yours   []config.Change   // from the base, or else the current document, to the one proposed
+	Current Record            // the record in force
+	Theirs  []config.Change   // changes from the base to the current document; nil if the base is no longer available
+	Yours   []config.Change   // changes from the base, or from the current document if the base is unavailable, to the proposed one
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	msg := fmt.Sprintf("conflict: started from generation %d, but generation %d of %s is in force", e.Base, e.Current.Generation, e.Current.Author)
+	msg := fmt.Sprintf("conflict: based on generation %d, but generation %d by %s is in force", e.Base, e.Current.Generation, e.Current.Author)
 	if len(e.Theirs) > 0 {
-		msg += "; changed there: " + joinChanges(e.Theirs)
+		msg += "; changes since then: " + joinChanges(e.Theirs)
 	}
 	return msg
 }
 
-// maxChangesShown bounds the changes in an error's text.
+// maxChangesShown is the maximum number of changes listed in an error message.
 const maxChangesShown = 20
 
 func joinChanges(changes []config.Change) string {
@@ -45,14 +44,14 @@
 	return strings.Join(lines, "; ")
 }
 
-// UnknownError is returned when a write was sent and neither its answer nor
-// any read until the deadline told what became of it. It may take effect
-// later. Applying the same document again on the same base is safe: at most
-// one of both takes effect.
+// UnknownError is returned if a write was sent and its outcome could not be
+// determined, neither from its response nor from later reads. The write may still
+// take effect. Applying the same document again on the same base is safe: at most
+// one of the two writes takes effect.
 type UnknownError struct {
 	WriteID string
 	Step    Step
-	Err     error // the last error of the store
+	Err     error // last error returned by the store
 }
 
 // Error implements error.
@@ -60,20 +59,20 @@
 	return fmt.Sprintf("outcome of write %s is unknown at step %s; it may still take effect: %v", e.WriteID, e.Step, e.Err)
 }
 
-// Unwrap returns the last error of the store.
+// Unwrap returns the last error returned by the store.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// NotStoredError is returned when the deadline passed and surely nothing was
-// or will be written.
+// NotStoredError is returned if the document could not be stored and it is
+// certain that nothing was or will be written.
 type NotStoredError struct {
 	Step Step
-	Err  error // the last error of the store
+	Err  error // last error returned by the store
 }
 
 // Error implements error.
 func (e *NotStoredError) Error() string {
-	return fmt.Sprintf("document not stored at step %s, nothing was changed: %v", e.Step, e.Err)
+	return fmt.Sprintf("document not stored: failed at step %s, nothing was changed: %v", e.Step, e.Err)
 }
 
-// Unwrap returns the last error of the store.
+// Unwrap returns the last error returned by the store.
 func (e *NotStoredError) Unwrap() error { return e.Err }
--- a/internal/config/repository/faults_apply_test.go
+++ b/internal/config/repository/faults_apply_test.go
@@ -14,45 +14,47 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// oursKey marks the context of the call of Apply that meets the faults.
-type oursKey struct{}
+// underTestKey marks the context of the Apply call under test, whose store calls
+// are made to fail.
+type underTestKey struct{}
 
-// strike is one fault of one call to the store: what happens before it, and
-// what comes of it.
-type strike struct {
-	wait  time.Duration
-	rival bool // another operator's document is accepted meanwhile
-	fault platformtest.Fault
+// callFault is the fault injected into one store call: a delay, an optional
+// competing write and the result of the call.
+type callFault struct {
+	wait      time.Duration
+	competing bool // another operator applies a document before the call
+	fault     platformtest.Fault
 }
 
-// stepFault is a fault of the first calls of a step. dead refuses all later
-// calls, as if the process had ended.
+// stepFault lists the faults of the first calls of a step. With crash set, all
+// later calls fail as if the process had ended.
 type stepFault struct {
-	name    string
-	strikes []strike
-	dead    bool
+	name  string
+	calls []callFault
+	crash bool
 }
 
 func stepFaults() []stepFault {
 	const callTimeout = 3 * time.Second
 	return []stepFault{
-		{"pause", []strike{{wait: 2 * ApplyTimeout}}, false},
-		{"pause, another document", []strike{{wait: 2 * ApplyTimeout, rival: true}}, false},
-		{"delay", []strike{{wait: time.Second}}, false},
-		{"delay, another document", []strike{{wait: time.Second, rival: true}}, false},
-		{"silent, lost", []strike{{wait: callTimeout, fault: platformtest.FaultLostRequest}}, false},
-		{"silent, done", []strike{{wait: callTimeout, fault: platformtest.FaultLostResponse}}, false},
-		{"lost request", []strike{{fault: platformtest.FaultLostRequest}}, false},
-		{"lost answer", []strike{{fault: platformtest.FaultLostResponse}}, false},
-		{"late and doubled", []strike{{fault: platformtest.FaultDelayedEffect}}, false},
-		{"outage", []strike{{fault: platformtest.FaultUnavailable}, {fault: platformtest.FaultUnavailable}}, false},
-		{"lost answer, then another document", []strike{{fault: platformtest.FaultLostResponse}, {rival: true}}, false},
-		{"late, then another document", []strike{{fault: platformtest.FaultDelayedEffect}, {rival: true}}, false},
-		{"crash", []strike{{}}, true},
+		{"pause", []callFault{{wait: 2 * ApplyTimeout}}, false},
+		{"pause, another document", []callFault{{wait: 2 * ApplyTimeout, competing: true}}, false},
+		{"delay", []callFault{{wait: time.Second}}, false},
+		{"delay, another document", []callFault{{wait: time.Second, competing: true}}, false},
+		{"no response, request lost", []callFault{{wait: callTimeout, fault: platformtest.FaultLostRequest}}, false},
+		{"no response, request executed", []callFault{{wait: callTimeout, fault: platformtest.FaultLostResponse}}, false},
+		{"lost request", []callFault{{fault: platformtest.FaultLostRequest}}, false},
+		{"lost answer", []callFault{{fault: platformtest.FaultLostResponse}}, false},
+		{"delayed and duplicated", []callFault{{fault: platformtest.FaultDelayedEffect}}, false},
+		{"outage", []callFault{{fault: platformtest.FaultUnavailable}, {fault: platformtest.FaultUnavailable}}, false},
+		{"lost answer, then another document", []callFault{{fault: platformtest.FaultLostResponse}, {competing: true}}, false},
+		{"delayed, then another document", []callFault{{fault: platformtest.FaultDelayedEffect}, {competing: true}}, false},
+		{"crash", []callFault{{}}, true},
 	}
 }
 
-// stepOf returns the step of a call of ours; false for calls of no step.
+// stepOf returns the step that a store call belongs to, or false if there is
+// none.
 func stepOf(c platformtest.Call, wrote bool) (Step, bool) {
 	switch {
 	case c.Kind == platform.KindConfigChunk && c.Op == platform.OpCreate:
@@ -67,121 +69,124 @@
 	return StepRead, true
 }
 
-// applyFault applies documents while the store's calls of one step go wrong.
-type applyFault struct {
-	*rig
-	step     Step
-	fault    stepFault
-	next     int // strike
-	wrote    bool
-	dead     atomic.Bool
-	rivalErr error
-	rivals   int
+// faultInjector applies documents while the store calls of one step fail.
+type faultInjector struct {
+	*harness
+	step             Step
+	fault            stepFault
+	next             int // index of the next fault to inject
+	wrote            bool
+	crashed          atomic.Bool
+	competingErr     error
+	competingApplies int
 }
 
-// hook lets the faults come at the calls of ours.
-func (a *applyFault) hook(ctx context.Context, c platformtest.Call) platformtest.Fault {
-	if ctx.Value(oursKey{}) == nil {
-		if a.dead.Load() {
-			return platformtest.FaultUnavailable // nobody cleans up after a crash
+// hook injects the faults into the store calls of the Apply call under test.
+func (f *faultInjector) hook(ctx context.Context, c platformtest.Call) platformtest.Fault {
+	if ctx.Value(underTestKey{}) == nil {
+		if f.crashed.Load() {
+			return platformtest.FaultUnavailable // no clean-up after a crash
 		}
 		return platformtest.FaultNone
 	}
-	if a.dead.Load() {
+	if f.crashed.Load() {
 		return platformtest.FaultUnavailable
 	}
-	step, ok := stepOf(c, a.wrote)
-	first := step == StepWrite && !a.wrote
-	a.wrote = a.wrote || step == StepWrite
-	if !ok || step != a.step {
-		if first && a.step == StepReread {
-			return platformtest.FaultLostResponse // there is no reread without it
+	step, ok := stepOf(c, f.wrote)
+	first := step == StepWrite && !f.wrote
+	f.wrote = f.wrote || step == StepWrite
+	if !ok || step != f.step {
+		if first && f.step == StepReread {
+			return platformtest.FaultLostResponse // required to reach StepReread
 		}
 		return platformtest.FaultNone
 	}
-	if a.next == len(a.fault.strikes) {
-		a.dead.Store(a.fault.dead)
-		if a.fault.dead {
+	if f.next == len(f.fault.calls) {
+		f.crashed.Store(f.fault.crash)
+		if f.fault.crash {
 			return platformtest.FaultUnavailable
 		}
 		return platformtest.FaultNone
 	}
-	s := a.fault.strikes[a.next]
-	a.next++
-	if s.rival {
-		a.rival()
+	s := f.fault.calls[f.next]
+	f.next++
+	if s.competing {
+		f.applyCompeting()
 	}
 	time.Sleep(s.wait)
 	return s.fault
 }
 
-func (a *applyFault) rival() {
-	a.rivals++
-	_, a.rivalErr = a.Apply(context.Background(), Proposal{Document: document(a.t, 3000), Base: 1, Comment: "rival"})
+func (f *faultInjector) applyCompeting() {
+	f.competingApplies++
+	_, f.competingErr = f.Apply(context.Background(), Proposal{Document: document(f.t, 3000), Base: 1, Comment: "competing"})
 }
 
-func (a *applyFault) run() {
-	a.chunkBytes = 8 << 10
-	a.mustApply(0, 1000)
-	ours := document(a.t, 2000)
+func (f *faultInjector) run() {
+	f.chunkBytes = 8 << 10
+	f.mustApply(0, 1000)
+	ours := document(f.t, 2000)
 	ours.ClientBlocks = append(ours.ClientBlocks, randomBlocks(1200)...)
-	a.store.SetHook(a.hook)
-	_, err := a.Apply(context.WithValue(context.Background(), oursKey{}, true), Proposal{Document: ours, Base: 1, Comment: "ours"})
-	a.store.SetHook(nil)
-	a.store.ReleaseDelayed()
-	a.judge(err)
-	a.mustGoOn()
+	f.store.SetHook(f.hook)
+	_, err := f.Apply(context.WithValue(context.Background(), underTestKey{}, true), Proposal{Document: ours, Base: 1, Comment: "ours"})
+	f.store.SetHook(nil)
+	f.store.ReleaseDelayed()
+	f.checkOutcome(err)
+	f.mustApplyNext()
 }
 
-// judge checks that what was told is true, that at most one of two documents
-// on the same base was accepted, and that all that is kept can be read.
-func (a *applyFault) judge(err error) {
-	a.t.Helper()
-	head, _, readErr := a.Head(context.Background())
+// checkOutcome checks that the result of Apply agrees with the history, that at
+// most one of two documents on the same base was accepted, and that all kept
+// documents can be read.
+func (f *faultInjector) checkOutcome(err error) {
+	f.t.Helper()
+	head, _, readErr := f.Head(context.Background())
 	if readErr != nil {
-		a.t.Fatal(readErr)
+		f.t.Fatal(readErr)
 	}
 	times := make(map[string]int)
 	for _, rec := range append([]Record{head.Current}, head.History...) {
 		times[rec.Comment]++
-		a.expectReadable(&rec)
+		f.expectReadable(&rec)
 	}
 	var unknown *UnknownError
 	switch n := times["ours"]; {
 	case err == nil && n != 1, errors.As(err, &unknown) && n > 1, err != nil && !errors.As(err, &unknown) && n > 0:
-		a.t.Errorf("told %v, and it is in the history %d times", err, n)
+		f.t.Errorf("Apply returned %v, but the document is in the history %d times", err, n)
 	}
-	if a.rivals > 0 && (a.rivalErr == nil) != (times["rival"] == 1) {
-		a.t.Errorf("the other was told %v, and it is in the history %d times", a.rivalErr, times["rival"])
+	if f.competingApplies > 0 && (f.competingErr == nil) != (times["competing"] == 1) {
+		f.t.Errorf("the competing Apply returned %v, but its document is in the history %d times", f.competingErr, times["competing"])
 	}
-	if times["ours"]+times["rival"] > 1 {
-		a.t.Error("two documents on the same base were accepted")
+	if times["ours"]+times["competing"] > 1 {
+		f.t.Error("two documents on the same base were accepted")
 	}
-	if a.rivals == 0 && !a.fault.dead && a.fault.strikes[0].wait < ApplyTimeout && err != nil {
-		a.t.Errorf("not accepted although the store works again: %v", err)
+	if f.competingApplies == 0 && !f.fault.crash && f.fault.calls[0].wait < ApplyTimeout && err != nil {
+		f.t.Errorf("not accepted although the store has recovered: %v", err)
 	}
 }
 
-// mustGoOn applies another document on what is in force.
-func (a *applyFault) mustGoOn() {
-	a.t.Helper()
-	before, _ := a.current()
-	if next := a.mustApply(before, 4000); next.Record.Generation != before+1 {
-		a.t.Errorf("generation %d after %d", next.Record.Generation, before)
+// mustApplyNext applies another document based on the one in force.
+func (f *faultInjector) mustApplyNext() {
+	f.t.Helper()
+	before, _ := f.current()
+	if next := f.mustApply(before, 4000); next.Record.Generation != before+1 {
+		f.t.Errorf("generation %d after %d", next.Record.Generation, before)
 	}
-	if gen, age := a.current(); gen != before+1 || age != config.Millis(4000) {
-		a.t.Errorf("store holds generation %d, age %d", gen, age)
+	if gen, age := f.current(); gen != before+1 || age != config.Millis(4000) {
+		f.t.Errorf("store holds generation %d, age %d", gen, age)
 	}
 }
 
-// TestApplyUnderEachFaultAtEachStep applies a document with client blocks in
-// chunks, on the same base as another operator's where there is one.
+// TestApplyUnderEachFaultAtEachStep injects each fault at each step while a
+// document with chunked client blocks is applied. In some cases, another operator
+// applies a document on the same base. Guards against wrong results of Apply, two
+// accepted documents on one base and documents that cannot be read back.
 func TestApplyUnderEachFaultAtEachStep(t *testing.T) {
 	for _, step := range Steps() {
 		for _, fault := range stepFaults() {
 			t.Run(fmt.Sprintf("%v/%s", step, fault.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					a := &applyFault{rig: newRig(t), step: step, fault: fault}
+					a := &faultInjector{harness: newHarness(t), step: step, fault: fault}
 					a.run()
 					if a.next == 0 {
 						t.Error("the step was not reached")
--- a/internal/config/repository/packed.go
+++ b/internal/config/repository/packed.go
@@ -6,12 +6,13 @@
 	"masticturn/internal/config"
 )
 
-// Packed is a compressed document with its hashes, as it is stored and sent.
+// Packed is a compressed document with its hashes, in the form in which it is
+// stored and sent.
 type Packed struct {
 	Hash       uint64
 	BlocksHash uint64
 	Main       []byte
-	Blocks     []byte // nil when there are none or when they are left out
+	Blocks     []byte // nil if there are none or they are omitted
 }
 
 // Pack compresses both parts of a document.
@@ -27,8 +28,8 @@
 	return p, err
 }
 
-// Open decompresses a document and checks its hashes. Client blocks that are
-// left out stay so.
+// Open decompresses the document and verifies its hashes. Omitted client blocks
+// remain omitted.
 func (p *Packed) Open() (*config.Encoded, error) {
 	e := &config.Encoded{BlocksHash: p.BlocksHash}
 	var err error
@@ -36,7 +37,7 @@
 		return nil, err
 	}
 	if got := e.Hash(); got != p.Hash {
-		return nil, trace.CompareFailed("document has hash %016x, its record says %016x", got, p.Hash)
+		return nil, trace.CompareFailed("document hash mismatch: computed %016x, recorded %016x", got, p.Hash)
 	}
 	if len(p.Blocks) == 0 {
 		return e, nil
@@ -45,12 +46,13 @@
 		return nil, err
 	}
 	if got := config.HashBlocks(e.Blocks); got != p.BlocksHash {
-		return nil, trace.CompareFailed("client blocks have hash %016x, their record says %016x", got, p.BlocksHash)
+		return nil, trace.CompareFailed("client blocks hash mismatch: computed %016x, recorded %016x", got, p.BlocksHash)
 	}
 	return e, nil
 }
 
-// Document decompresses, checks and decodes a document without parts left out.
+// Document decompresses, verifies and decodes the document. It fails if client
+// blocks are omitted.
 func (p *Packed) Document() (*config.Document, error) {
 	e, err := p.Open()
 	if err != nil {
--- a/internal/config/repository/race_test.go
+++ b/internal/config/repository/race_test.go
@@ -18,37 +18,39 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// Sizes of a race: all accepted documents stay in the history.
+// Parameters of the race. operators*appliesPerOperator must not exceed
+// HistoryLength, so that all accepted documents remain in the history.
 const (
-	racers       = 3
-	appliesEach  = 5
-	raceFaults   = 0.4 // chance of a fault of a call
-	raceRuns     = 12
-	raceSeed     = 20261202
-	raceLateEach = 700 * time.Millisecond
+	operators          = 3
+	appliesPerOperator = 5
+	raceFaultRate      = 0.4 // probability that a store call fails
+	raceRuns           = 12
+	raceSeed           = 20261202
+	releaseInterval    = 700 * time.Millisecond
 )
 
-// verdicts holds what operators were told, by the comment of the proposal.
-type verdicts struct {
+// outcomes holds the results of Apply by the comment of the proposal.
+type outcomes struct {
 	mu   sync.Mutex
-	told map[string]error
+	errs map[string]error
 }
 
-func (v *verdicts) add(comment string, err error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.told[comment] = err
+func (o *outcomes) add(comment string, err error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.errs[comment] = err
 }
 
-// TestRacingOperatorsUnderFaults has operators race while calls fail, answers
-// are lost and writes take effect late. Whoever was told 'accepted' is in the
-// history exactly once, whoever was told 'conflict' or 'not stored' never,
-// whoever was told 'unknown' at most once; generations rise.
+// TestRacingOperatorsUnderFaults applies documents concurrently while store calls
+// fail, responses are lost and writes take effect late. An accepted document must
+// be in the history exactly once, one that was rejected by a conflict or not
+// stored never, and one with an unknown outcome at most once. Generations must
+// increase.
 func TestRacingOperatorsUnderFaults(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(raceSeed)
 	parameters.MinSuccessfulTests = raceRuns
 	properties := gopter.NewProperties(parameters)
-	properties.Property("what operators are told is true", prop.ForAll(func(seed uint64) string {
+	properties.Property("results of Apply agree with the history", prop.ForAll(func(seed uint64) string {
 		var fault string
 		synctest.Test(t, func(t *testing.T) { fault = race(t, seed) })
 		return fault
@@ -56,9 +58,9 @@
 	properties.TestingRun(t)
 }
 
-// race returns what was wrong, "" when nothing was.
+// race runs one race and returns a description of the first violation, or "".
 func race(t *testing.T, seed uint64) string {
-	r := newRig(t)
+	r := newHarness(t)
 	r.store.SetHook(randomFaults(seed))
 	stop := make(chan struct{})
 	go func() {
@@ -66,22 +68,22 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(raceLateEach):
+			case <-time.After(releaseInterval):
 				r.store.ReleaseDelayed()
 			}
 		}
 	}()
-	v := &verdicts{told: make(map[string]error)}
+	results := &outcomes{errs: make(map[string]error)}
 	var group sync.WaitGroup
-	for operator := range racers {
-		group.Go(func() { r.operate(operator, v) })
+	for operator := range operators {
+		group.Go(func() { r.applyRepeatedly(operator, results) })
 	}
 	group.Wait()
 	close(stop)
-	time.Sleep(raceLateEach)
+	time.Sleep(releaseInterval)
 	r.store.SetHook(nil)
 	r.store.ReleaseDelayed()
-	return r.judge(v)
+	return r.checkOutcomes(results)
 }
 
 func randomFaults(seed uint64) platformtest.Hook {
@@ -93,16 +95,17 @@
 	return func(_ context.Context, c platformtest.Call) platformtest.Fault {
 		mu.Lock()
 		defer mu.Unlock()
-		if random.Float64() > raceFaults {
+		if random.Float64() > raceFaultRate {
 			return platformtest.FaultNone
 		}
 		return faults[random.IntN(len(faults))]
 	}
 }
 
-// operate applies documents on whatever base the store shows.
-func (r *rig) operate(operator int, v *verdicts) {
-	for i := range appliesEach {
+// applyRepeatedly applies documents, each based on the generation read from the
+// store.
+func (r *harness) applyRepeatedly(operator int, results *outcomes) {
+	for i := range appliesPerOperator {
 		base := config.Generation(0)
 		if head, _, err := r.Head(context.Background()); err == nil {
 			base = head.Current.Generation
@@ -110,12 +113,13 @@
 		comment := fmt.Sprintf("%d/%d", operator, i)
 		doc := document(r.t, config.Millis(1000+100*operator+i))
 		_, err := r.Apply(context.Background(), Proposal{Document: doc, Base: base, Comment: comment})
-		v.add(comment, err)
+		results.add(comment, err)
 	}
 }
 
-// judge compares what operators were told with the history.
-func (r *rig) judge(v *verdicts) string {
+// checkOutcomes compares the results of Apply with the history. It returns a
+// description of the first violation, or "".
+func (r *harness) checkOutcomes(results *outcomes) string {
 	head, _, err := r.Head(context.Background())
 	if errors.Is(err, ErrNoDocument) {
 		head = &Head{}
@@ -129,12 +133,12 @@
 		}
 		last = rec.Generation
 	}
-	for comment, err := range v.told {
+	for comment, err := range results.errs {
 		var unknown *UnknownError
 		n := times[comment]
 		switch {
 		case err == nil && n != 1, errors.As(err, &unknown) && n > 1, err != nil && !errors.As(err, &unknown) && n > 0:
-			return fmt.Sprintf("%s was told %v and is in the history %d times", comment, err, n)
+			return fmt.Sprintf("Apply of %s returned %v, but the document is in the history %d times", comment, err, n)
 		}
 	}
 	return ""
--- a/internal/config/repository/record.go
+++ b/internal/config/repository/record.go
@@ -1,6 +1,6 @@
-// Package repository keeps the accepted documents in the platform's object
-// API: one head object, changed by conditional update only, with the document
-// in force and the generations before it.
+// Package repository stores accepted documents in the platform's object API. A
+// single head object, modified only by conditional updates, holds the document in
+// force and the previous generations.
 package repository
 
 import (
@@ -17,51 +17,51 @@
 	"masticturn/internal/platform"
 )
 
-// Bounds on what is kept.
+// Limits on stored data.
 const (
-	// HistoryLength is the number of generations kept besides the one in force.
+	// HistoryLength is the number of previous generations kept.
 	HistoryLength = 16
-	// MaxMainBytes is the largest compressed document, without its client
-	// blocks, that is accepted. It is kept in the head object itself.
+	// MaxMainBytes is the maximum size of a compressed document without its
+	// client blocks. This part is stored in the head object.
 	MaxMainBytes = 256 << 10
-	// maxInlineBlocks is the largest compressed list of client blocks kept in
-	// the head object; a larger one goes into chunks.
+	// maxInlineBlocks is the maximum size, in bytes, of compressed client blocks
+	// in the head object. Larger ones are stored in chunks.
 	maxInlineBlocks = 16 << 10
-	// maxHeadBytes leaves room below the platform's bound on values.
+	// maxHeadBytes leaves a margin below the platform's limit on values.
 	maxHeadBytes = platform.MaxValueBytes * 9 / 10
-	// maxAuthorBytes and maxCommentBytes bound what operators write about a
-	// document.
+	// maxAuthorBytes and maxCommentBytes limit the author and comment of a
+	// record.
 	maxAuthorBytes  = 128
 	maxCommentBytes = 1024
-	// maxChunkBytes is the largest value of a chunk object.
+	// maxChunkBytes is the maximum size of the value of a chunk object.
 	maxChunkBytes = platform.MaxValueBytes * 9 / 10
 )
 
 // HeadName is the name of the head object within platform.KindConfig.
 const HeadName = "head"
 
-// Record is one accepted generation.
+// Record describes one accepted generation of the document.
 type Record struct {
 	Generation config.Generation `json:"generation"`
-	WriteID    string            `json:"write_id"`           // unique for each call of Apply
-	Hash       uint64            `json:"hash,string"`        // of the document
-	BlocksHash uint64            `json:"blocks_hash,string"` // of its client blocks; 0: none
-	Author     string            `json:"author"`             // who applied it
-	Comment    string            `json:"comment"`            // why
-	AcceptedAt time.Time         `json:"accepted_at"`        // by the clock of the daemon that wrote it
+	WriteID    string            `json:"write_id"`           // unique for each Apply call
+	Hash       uint64            `json:"hash,string"`        // hash of the document
+	BlocksHash uint64            `json:"blocks_hash,string"` // hash of the client blocks; 0: none
+	Author     string            `json:"author"`             // operator who applied the document
+	Comment    string            `json:"comment"`            // reason given by the operator
+	AcceptedAt time.Time         `json:"accepted_at"`        // time according to the daemon that wrote the record
 	Bytes      int               `json:"bytes"`              // size of the encoded document
 	Main       []byte            `json:"main,omitempty"`     // compressed document without client blocks
-	Blocks     []byte            `json:"blocks,omitempty"`   // compressed client blocks, when few
-	Chunks     []Chunk           `json:"chunks,omitempty"`   // objects that hold them otherwise, in order
+	Blocks     []byte            `json:"blocks,omitempty"`   // compressed client blocks, if small
+	Chunks     []Chunk           `json:"chunks,omitempty"`   // objects that hold the client blocks otherwise, in order
 }
 
-// Chunk names an object of platform.KindConfigChunk.
+// Chunk refers to an object of platform.KindConfigChunk.
 type Chunk struct {
 	Name    string           `json:"name"`
 	Version platform.Version `json:"version"`
 }
 
-// Kept reports whether the document of this generation can still be read.
+// Kept reports whether the document of this generation is still available.
 func (r *Record) Kept() bool { return len(r.Main) > 0 }
 
 // Head is the value of the head object.
@@ -70,7 +70,7 @@
 	History []Record `json:"history,omitempty"` // newest first
 }
 
-// DecodeHead reads the value of the head object.
+// DecodeHead decodes the value of the head object.
 func DecodeHead(value []byte) (*Head, error) {
 	h := &Head{}
 	if err := json.Unmarshal(value, h); err != nil {
@@ -79,12 +79,12 @@
 	return h, nil
 }
 
-// byWriteID returns the record of a write, nil when it is not among those kept.
+// byWriteID returns the record of a write, or nil if it is not kept.
 func (h *Head) byWriteID(id string) *Record {
 	return h.find(func(r *Record) bool { return r.WriteID == id })
 }
 
-// byGeneration returns the record of a generation, nil when it is not kept.
+// byGeneration returns the record of a generation, or nil if it is not kept.
 func (h *Head) byGeneration(gen config.Generation) *Record {
 	return h.find(func(r *Record) bool { return r.Generation == gen })
 }
@@ -101,9 +101,9 @@
 	return nil
 }
 
-// succeed returns the head that follows h with a new current record, and its
-// encoding, which is small enough for the platform.
-func (h *Head) succeed(current Record) (*Head, []byte, error) {
+// successor returns a new head with the given current record and the previous
+// records as history, and its encoding, trimmed to the size limit.
+func (h *Head) successor(current Record) (*Head, []byte, error) {
 	next := &Head{Current: current}
 	if h != nil {
 		next.History = append([]Record{h.Current}, h.History...)
@@ -114,37 +114,38 @@
 	return next, value, trace.Wrap(err, "encode head of the configuration")
 }
 
-// trim leaves out the documents of the oldest generations until the encoded
-// head is surely small enough.
+// trim drops the documents of the oldest generations so that the encoded head is
+// guaranteed not to exceed maxHeadBytes.
 func (h *Head) trim() {
 	size := h.Current.encodedSize()
 	for i := range h.History {
 		size += h.History[i].encodedSize()
 		if size > maxHeadBytes {
 			size -= h.History[i].encodedSize() - recordOverhead
-			h.History[i].leaveOut()
+			h.History[i].dropDocument()
 		}
 	}
 }
 
-// recordOverhead bounds the encoded size of a record without its document and
-// chunks: the longest author and comment, each byte escaped.
+// recordOverhead is an upper bound on the encoded size of a record without its
+// document and chunks: the longest author and comment, with each byte escaped.
+// chunkOverhead is an upper bound on the encoded size of a chunk reference.
 const (
 	recordOverhead = 6*(maxAuthorBytes+maxCommentBytes) + 512
 	chunkOverhead  = 128
 )
 
-// encodedSize returns a bound on the size of a record within the head.
+// encodedSize returns an upper bound on the encoded size of the record.
 func (r *Record) encodedSize() int {
 	return recordOverhead + chunkOverhead*len(r.Chunks) +
 		base64.StdEncoding.EncodedLen(len(r.Main)) + base64.StdEncoding.EncodedLen(len(r.Blocks))
 }
 
-// leaveOut forgets the document of the record.
-func (r *Record) leaveOut() { r.Main, r.Blocks, r.Chunks = nil, nil, nil }
+// dropDocument removes the document from the record.
+func (r *Record) dropDocument() { r.Main, r.Blocks, r.Chunks = nil, nil, nil }
 
-// dropped returns the chunks that before names and after does not.
-func dropped(before, after *Head) []Chunk {
+// unreferencedChunks returns the chunks that before refers to and after does not.
+func unreferencedChunks(before, after *Head) []Chunk {
 	if before == nil {
 		return nil
 	}
@@ -169,7 +170,7 @@
 	return all
 }
 
-// Compress returns the compressed form of a part of a document.
+// Compress compresses a part of an encoded document with gzip.
 func Compress(raw []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -182,8 +183,8 @@
 	return b.Bytes(), nil
 }
 
-// Decompress returns a part of a document from its compressed form. It refuses
-// one larger than config.MaxDocumentBytes.
+// Decompress reverses Compress. It returns an error if the result exceeds
+// config.MaxDocumentBytes.
 func Decompress(body []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(body))
 	if err != nil {
--- a/internal/config/repository/repository.go
+++ b/internal/config/repository/repository.go
@@ -15,31 +15,32 @@
 	"masticturn/internal/platform"
 )
 
-// Waits between the calls of one Apply after a failure, and the time after
-// which Apply gives up when its context has no earlier deadline.
+// minRetryWait and maxRetryWait limit the delay between the store calls of an
+// Apply call after a failure. ApplyTimeout limits the duration of Apply if its
+// context has no earlier deadline.
 const (
 	minRetryWait = 20 * time.Millisecond
 	maxRetryWait = 500 * time.Millisecond
 	ApplyTimeout = 10 * time.Second
 )
 
-// Repository reads and accepts documents in the platform's object API.
+// Repository reads and stores documents in the platform's object API.
 type Repository struct {
 	store      platform.Store
 	clock      kernel.Clock
-	chunkBytes int // largest value of a chunk
+	chunkBytes int // maximum size of the value of a chunk
 }
 
-// New returns a repository on a store.
+// New returns a repository that uses the given store.
 func New(store platform.Store, clock kernel.Clock) *Repository {
 	return &Repository{store: store, clock: clock, chunkBytes: maxChunkBytes}
 }
 
-// Proposal is a document to be accepted.
+// Proposal is a document to be applied.
 type Proposal struct {
 	Document *config.Document
 	Base     config.Generation // generation the operator started from; 0 for the first document
-	InForce  *config.Snapshot  // in force at this daemon, nil when none is
+	InForce  *config.Snapshot  // snapshot in force at this daemon; nil if there is none
 	Author   string
 	Comment  string
 }
@@ -62,7 +63,7 @@
 	return config.Validate(p.Document)
 }
 
-// pack encodes and compresses the document. It returns the encoded size, too.
+// pack encodes and compresses the document. It also returns the encoded size.
 func (p *Proposal) pack() (*Packed, int, error) {
 	encoded, err := config.Split(p.Document)
 	if err != nil {
@@ -81,17 +82,17 @@
 	return packed, encoded.Bytes(), nil
 }
 
-// Accepted is a document that was accepted.
+// Accepted is the result of a successful Apply.
 type Accepted struct {
 	Record Record
 	Packed *Packed
-	// Unchanged is set when the document was in force already and nothing was
+	// Unchanged is set if the document was already in force and nothing was
 	// written.
 	Unchanged bool
 }
 
-// Head reads the head object. The error is ErrNoDocument when there is none,
-// or one of the platform's. The read may be stale.
+// Head reads the head object. It returns ErrNoDocument if there is none, or an
+// error of the platform. The read may be stale.
 func (r *Repository) Head(ctx context.Context) (*Head, platform.Version, error) {
 	o, err := r.store.Get(ctx, platform.KindConfig, HeadName)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -104,8 +105,8 @@
 	return head, o.Version, err
 }
 
-// Generation returns the document of a generation, or trace.NotFound when it
-// is not kept.
+// Generation returns the document of a generation, or a trace.NotFound error if
+// it is no longer kept.
 func (r *Repository) Generation(ctx context.Context, gen config.Generation) (*Packed, error) {
 	head, _, err := r.Head(ctx)
 	if err != nil {
@@ -118,14 +119,14 @@
 	return r.Read(ctx, rec, 0)
 }
 
-// Read returns the document of a record. Client blocks with the hash have may
-// be left out.
-func (r *Repository) Read(ctx context.Context, rec *Record, have uint64) (*Packed, error) {
+// Read returns the document of a record. Chunked client blocks are omitted if
+// their hash equals knownBlocksHash.
+func (r *Repository) Read(ctx context.Context, rec *Record, knownBlocksHash uint64) (*Packed, error) {
 	if !rec.Kept() {
 		return nil, trace.NotFound("the document of generation %d is no longer kept", rec.Generation)
 	}
 	p := &Packed{Hash: rec.Hash, BlocksHash: rec.BlocksHash, Main: rec.Main, Blocks: rec.Blocks}
-	if have != rec.BlocksHash {
+	if knownBlocksHash != rec.BlocksHash {
 		chunks, err := r.readChunks(ctx, rec)
 		if err != nil {
 			return nil, err
@@ -147,8 +148,8 @@
 	return all, nil
 }
 
-// Apply validates a document and stores it by conditional update on the
-// generation that the operator started from. Errors are
+// Apply validates a document and stores it with an update that is conditional on
+// the generation that the operator started from. It returns a
 // *config.InvalidError, *ConflictError, *UnknownError or *NotStoredError.
 func (r *Repository) Apply(ctx context.Context, p Proposal) (*Accepted, error) {
 	if err := p.validate(); err != nil {
@@ -168,29 +169,30 @@
 		attempt:    attempt{writeID: rand.Text(), hash: packed.Hash, base: p.Base, inForce: p.inForce()},
 	}
 	w.run(ctx)
-	return w.conclude()
+	return w.outcome()
 }
 
-// writer runs the attempt of one call of Apply against the store.
+// writer performs the I/O of one Apply call.
 type writer struct {
 	*Repository
 	attempt
 	proposal Proposal
 	packed   *Packed
-	size     int     // bytes of the encoded document
-	chunks   []Chunk // written for this document
-	retired  []Chunk // of no use once this document is accepted
+	size     int     // size of the encoded document in bytes
+	chunks   []Chunk // chunks written for this document
+	obsolete []Chunk // chunks to delete once this document is accepted
 }
 
-// run takes steps until a final one. It waits after steps that got nowhere.
+// run executes steps until a final one is reached. It backs off after steps that
+// made no progress.
 func (w *writer) run(ctx context.Context) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = minRetryWait
 	wait.MaxInterval = maxRetryWait
-	for !w.step.final() {
+	for !w.step.isFinal() {
 		before := w.step
-		w.take(ctx)
-		if !w.stuck(before) {
+		w.runStep(ctx)
+		if !w.needsBackoff(before) {
 			continue
 		}
 		select {
@@ -201,8 +203,8 @@
 	}
 }
 
-// take does the I/O of one step.
-func (w *writer) take(ctx context.Context) {
+// runStep performs the I/O of the current step.
+func (w *writer) runStep(ctx context.Context) {
 	switch w.step {
 	case StepRead:
 		w.onRead(w.readHead(ctx))
@@ -223,12 +225,12 @@
 	return head, version, err
 }
 
-// writeChunks stores many client blocks apart from the head, unless the
-// document before has the same ones. Names are unique to this write, so that
-// a chunk which exists already is our own.
+// writeChunks stores large client blocks separately from the head, unless the
+// previous document has the same ones. Chunk names are unique to this write, so
+// an existing chunk was created by an earlier try of the same write.
 func (w *writer) writeChunks(ctx context.Context) error {
 	blocks := w.packed.Blocks
-	if len(blocks) <= maxInlineBlocks || w.sameBlocks() {
+	if len(blocks) <= maxInlineBlocks || w.canReuseChunks() {
 		return nil
 	}
 	for i := len(w.chunks); i*w.chunkBytes < len(blocks); i++ {
@@ -246,10 +248,10 @@
 	return nil
 }
 
-// sameBlocks reports whether the head that the write is based on has the same
-// client blocks in chunks. They stay for as long as that head or the new one
-// refers to them, since the write is conditional on that head.
-func (w *writer) sameBlocks() bool {
+// canReuseChunks reports whether the head that the write is based on stores the
+// same client blocks in chunks. These chunks are not deleted while that head or
+// the new one refers to them, because the write is conditional on that head.
+func (w *writer) canReuseChunks() bool {
 	return w.head != nil && len(w.head.Current.Chunks) > 0 && w.head.Current.BlocksHash == w.packed.BlocksHash
 }
 
@@ -261,11 +263,11 @@
 // writeHead sends the conditional write.
 func (w *writer) writeHead(ctx context.Context) (*Record, error) {
 	rec := w.record()
-	next, value, err := w.head.succeed(rec)
+	next, value, err := w.head.successor(rec)
 	if err != nil {
 		return nil, err
 	}
-	w.retired = dropped(w.head, next)
+	w.obsolete = unreferencedChunks(w.head, next)
 	if w.version == 0 {
 		_, err = w.store.Create(ctx, platform.KindConfig, HeadName, value)
 	} else {
@@ -276,7 +278,7 @@
 
 func (w *writer) record() Record {
 	rec := Record{
-		Generation: w.next(),
+		Generation: w.nextGeneration(),
 		WriteID:    w.writeID,
 		Hash:       w.packed.Hash,
 		BlocksHash: w.packed.BlocksHash,
@@ -289,7 +291,7 @@
 	switch {
 	case len(w.packed.Blocks) <= maxInlineBlocks:
 		rec.Blocks = w.packed.Blocks
-	case w.sameBlocks():
+	case w.canReuseChunks():
 		rec.Chunks = w.head.Current.Chunks
 	default:
 		rec.Chunks = w.chunks
@@ -297,33 +299,34 @@
 	return rec
 }
 
-// conclude returns the result of a final step.
-func (w *writer) conclude() (*Accepted, error) {
+// outcome converts the final step to the result of Apply and deletes chunks that
+// are no longer needed.
+func (w *writer) outcome() (*Accepted, error) {
 	switch w.step {
 	case StepAccepted:
 		accepted := &Accepted{Record: *w.result, Packed: w.packed, Unchanged: w.result.WriteID != w.writeID}
 		if !accepted.Unchanged {
-			w.remove(w.retired)
+			w.deleteChunks(w.obsolete)
 		}
-		w.remove(dropped(&Head{Current: Record{Chunks: w.chunks}}, &Head{Current: *w.result}))
+		w.deleteChunks(unreferencedChunks(&Head{Current: Record{Chunks: w.chunks}}, &Head{Current: *w.result}))
 		return accepted, nil
 	case StepConflict:
-		w.remove(w.chunks)
-		return nil, w.conflict()
+		w.deleteChunks(w.chunks)
+		return nil, w.conflictError()
 	case StepUnknown:
-		return nil, &UnknownError{WriteID: w.writeID, Step: w.ended, Err: w.lastErr}
+		return nil, &UnknownError{WriteID: w.writeID, Step: w.endedAt, Err: w.lastErr}
 	default:
-		w.remove(w.chunks)
-		return nil, &NotStoredError{Step: w.ended, Err: w.lastErr}
+		w.deleteChunks(w.chunks)
+		return nil, &NotStoredError{Step: w.endedAt, Err: w.lastErr}
 	}
 }
 
-// cleanUpTimeout bounds the calls made after an outcome is certain.
+// cleanUpTimeout limits the store calls made after the outcome is known.
 const cleanUpTimeout = time.Second
 
-// remove deletes chunks. One that cannot be deleted now stays behind; it
-// costs room and nothing else.
-func (w *writer) remove(chunks []Chunk) {
+// deleteChunks deletes chunks and ignores errors. A chunk that cannot be deleted
+// remains in the store, where it only takes up space.
+func (w *writer) deleteChunks(chunks []Chunk) {
 	ctx, cancel := context.WithTimeout(context.Background(), cleanUpTimeout)
 	defer cancel()
 	for _, c := range chunks {
@@ -331,16 +334,16 @@
 	}
 }
 
-// conflict describes what stands in the way.
-func (w *writer) conflict() error {
+// conflictError returns a ConflictError with the changes on both sides.
+func (w *writer) conflictError() error {
 	if generationOf(w.head) < w.inForce {
-		return w.conflictInForce()
+		return w.conflictErrorInForce()
 	}
 	e := &ConflictError{Base: w.base, Current: w.head.Current}
 	ctx, cancel := context.WithTimeout(context.Background(), cleanUpTimeout)
 	defer cancel()
-	current := w.load(ctx, &w.head.Current)
-	base := w.load(ctx, w.head.byGeneration(w.base))
+	current := w.loadDocument(ctx, &w.head.Current)
+	base := w.loadDocument(ctx, w.head.byGeneration(w.base))
 	if base != nil && current != nil {
 		e.Theirs = config.Diff(base, current)
 	}
@@ -353,9 +356,9 @@
 	return e
 }
 
-// conflictInForce describes a conflict with the document in force here, when
-// the store shows an older one.
-func (w *writer) conflictInForce() error {
+// conflictErrorInForce returns a ConflictError for the document in force at this
+// daemon, which is newer than the one read from the store.
+func (w *writer) conflictErrorInForce() error {
 	snap := w.proposal.InForce
 	e := &ConflictError{Base: w.base, Current: Record{Generation: snap.Generation, Hash: snap.Hash}}
 	if proposed, err := config.Effective(w.proposal.Document); err == nil {
@@ -364,8 +367,8 @@
 	return e
 }
 
-// load returns the document of a record, nil when it cannot be had.
-func (w *writer) load(ctx context.Context, rec *Record) *config.Document {
+// loadDocument returns the document of a record, or nil if it is unavailable.
+func (w *writer) loadDocument(ctx context.Context, rec *Record) *config.Document {
 	if rec == nil {
 		return nil
 	}
--- a/internal/config/repository/repository_test.go
+++ b/internal/config/repository/repository_test.go
@@ -19,8 +19,8 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// document returns the Estiba example with another look-up age, by which
-// tests tell documents apart.
+// document returns the Estiba example with the given maximum look-up age, which
+// identifies the document in tests.
 func document(t testing.TB, maxAge config.Millis) *config.Document {
 	t.Helper()
 	text, _ := examples.Document("estiba")
@@ -32,22 +32,22 @@
 	return doc
 }
 
-type rig struct {
+type harness struct {
 	*Repository
 	t     *testing.T
 	store *platformtest.Store
 }
 
-func newRig(t *testing.T) *rig {
+func newHarness(t *testing.T) *harness {
 	store := platformtest.NewStore()
-	return &rig{Repository: New(store, kernel.SystemClock{}), t: t, store: store}
+	return &harness{Repository: New(store, kernel.SystemClock{}), t: t, store: store}
 }
 
-func (r *rig) apply(base config.Generation, maxAge config.Millis) (*Accepted, error) {
+func (r *harness) apply(base config.Generation, maxAge config.Millis) (*Accepted, error) {
 	return r.Apply(context.Background(), Proposal{Document: document(r.t, maxAge), Base: base, Author: "op"})
 }
 
-func (r *rig) mustApply(base config.Generation, maxAge config.Millis) *Accepted {
+func (r *harness) mustApply(base config.Generation, maxAge config.Millis) *Accepted {
 	r.t.Helper()
 	a, err := r.apply(base, maxAge)
 	if err != nil {
@@ -56,8 +56,9 @@
 	return a
 }
 
-// current returns generation and look-up age of what the store holds.
-func (r *rig) current() (config.Generation, config.Millis) {
+// current returns the generation and the maximum look-up age of the document in
+// the store.
+func (r *harness) current() (config.Generation, config.Millis) {
 	r.t.Helper()
 	head, _, err := r.Head(context.Background())
 	if err != nil {
@@ -74,7 +75,8 @@
 	return head.Current.Generation, doc.Lookup.MaxAgeMS
 }
 
-// headFaults makes the first calls on the head fail as listed, by operation.
+// headFaults injects the listed faults into the first calls of an operation on
+// the head. For updates, creation of the head counts as well.
 func headFaults(op platform.Op, faults ...platformtest.Fault) platformtest.Hook {
 	n := 0
 	return func(_ context.Context, c platformtest.Call) platformtest.Fault {
@@ -89,8 +91,8 @@
 	}
 }
 
-func TestGenerationsRiseAndHistoryIsKept(t *testing.T) {
-	r := newRig(t)
+func TestGenerationsIncreaseAndHistoryIsKept(t *testing.T) {
+	r := newHarness(t)
 	for gen := range config.Generation(HistoryLength + 5) {
 		a := r.mustApply(gen, config.Millis(1000+gen))
 		if a.Record.Generation != gen+1 {
@@ -107,8 +109,8 @@
 	r.expectReadable(&head.History[HistoryLength-1])
 }
 
-func TestInvalidDocumentIsNeverStored(t *testing.T) {
-	r := newRig(t)
+func TestInvalidDocumentIsNotStored(t *testing.T) {
+	r := newHarness(t)
 	doc := document(t, 0)
 	doc.Regions = nil
 	_, err := r.Apply(t.Context(), Proposal{Document: doc})
@@ -121,8 +123,8 @@
 	}
 }
 
-func TestLoserGetsTheDifference(t *testing.T) {
-	r := newRig(t)
+func TestConflictReportsChanges(t *testing.T) {
+	r := newHarness(t)
 	r.mustApply(0, 1000)
 	r.mustApply(1, 2000)
 	_, err := r.apply(1, 3000)
@@ -138,8 +140,8 @@
 	}
 }
 
-func TestSameDocumentAgainIsNoChange(t *testing.T) {
-	r := newRig(t)
+func TestApplyOfSameDocumentIsUnchanged(t *testing.T) {
+	r := newHarness(t)
 	r.mustApply(0, 1000)
 	a := r.mustApply(0, 1000)
 	if !a.Unchanged || a.Record.Generation != 1 {
@@ -147,8 +149,8 @@
 	}
 }
 
-// TestFaultAtEachStep applies generation 2 on 1 with faults at one step. Each
-// must end with the document accepted exactly once.
+// TestFaultAtEachStep applies generation 2 on generation 1 with faults at one
+// step. In each case the document must be accepted exactly once.
 func TestFaultAtEachStep(t *testing.T) {
 	const (
 		refused     = platformtest.FaultUnavailable
@@ -172,11 +174,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t)
+				r := newHarness(t)
 				r.mustApply(0, 1000)
 				hook := headFaults(tt.op, tt.faults...)
 				if tt.op == platform.OpGet {
-					hook = both(hook, headFaults(platform.OpUpdate, lostAnswer))
+					hook = combineHooks(hook, headFaults(platform.OpUpdate, lostAnswer))
 				}
 				r.store.SetHook(hook)
 				if a := r.mustApply(1, 2000); a.Unchanged || a.Record.Generation != 2 {
@@ -191,30 +193,31 @@
 	}
 }
 
-func both(a, b platformtest.Hook) platformtest.Hook {
+func combineHooks(a, b platformtest.Hook) platformtest.Hook {
 	return func(ctx context.Context, c platformtest.Call) platformtest.Fault {
 		return max(a(ctx, c), b(ctx, c))
 	}
 }
 
-// TestLateEffectIsUnknownAndRetryIsSafe has a write that takes effect only
-// after the deadline: first with nothing else written, then after a retry of
-// the same document, then after another operator's document.
+// TestLateEffectIsUnknownAndRetryIsSafe delays the effect of a write until after
+// the deadline. Before it takes effect, either nothing else is written, the same
+// document is applied again or another operator's document is applied. Guards
+// against a delayed write that overwrites a later one.
 func TestLateEffectIsUnknownAndRetryIsSafe(t *testing.T) {
 	tests := []struct {
 		name    string
-		between func(r *rig)
+		between func(r *harness)
 		gen     config.Generation
 		age     config.Millis
 	}{
-		{"alone", func(*rig) {}, 2, 2000},
-		{"after a retry", func(r *rig) { r.mustApply(1, 2000) }, 2, 2000},
-		{"after another document", func(r *rig) { r.mustApply(1, 3000) }, 2, 3000},
+		{"alone", func(*harness) {}, 2, 2000},
+		{"after a retry", func(r *harness) { r.mustApply(1, 2000) }, 2, 2000},
+		{"after another document", func(r *harness) { r.mustApply(1, 3000) }, 2, 3000},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t)
+				r := newHarness(t)
 				r.mustApply(0, 1000)
 				r.store.SetHook(func(_ context.Context, c platformtest.Call) platformtest.Fault {
 					if c.Op == platform.OpUpdate {
@@ -230,7 +233,7 @@
 				r.store.SetHook(nil)
 				tt.between(r)
 				if r.store.ReleaseDelayed() < 2 {
-					t.Error("the write in doubt was not sent again")
+					t.Error("the write in doubt was not resent")
 				}
 				if gen, age := r.current(); gen != tt.gen || age != tt.age {
 					t.Errorf("store holds generation %d, age %d; want %d, %d", gen, age, tt.gen, tt.age)
@@ -240,11 +243,12 @@
 	}
 }
 
-// TestLateEffectIsFoundInTheHistory has a write in doubt that takes effect
-// and is superseded by another operator before it is read again.
+// TestLateEffectIsFoundInTheHistory loses the response of a write that takes
+// effect, and another operator replaces the document before the reread. Apply
+// must find its own record in the history.
 func TestLateEffectIsFoundInTheHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		r := newHarness(t)
 		r.mustApply(0, 1000)
 		superseded := false
 		r.store.SetHook(func(_ context.Context, c platformtest.Call) platformtest.Fault {
@@ -267,9 +271,9 @@
 }
 
 func TestStaleReadsDecideNothing(t *testing.T) {
-	t.Run("base is ahead of the read", func(t *testing.T) {
+	t.Run("read is older than the base", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.mustApply(0, 1000)
 			r.store.Freeze()
 			r.mustApply(1, 2000)
@@ -281,7 +285,7 @@
 	})
 	t.Run("reread after a lost answer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.mustApply(0, 1000)
 			r.store.Freeze()
 			r.store.SetHook(headFaults(platform.OpUpdate, platformtest.FaultLostResponse))
@@ -295,7 +299,7 @@
 
 func TestOutageIsNotStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		r := newHarness(t)
 		r.store.SetOutage(true)
 		_, err := r.apply(0, 1000)
 		var refused *NotStoredError
@@ -305,10 +309,10 @@
 	})
 }
 
-// TestStoreThatLostGenerations has the store go back to generation 1 while
-// the fleet has generation 5 in force: the next one is 6.
+// TestStoreThatLostGenerations applies a document when the store has only
+// generation 1 but generation 5 is in force. The next generation must be 6.
 func TestStoreThatLostGenerations(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.mustApply(0, 1000)
 	snap, err := config.NewSnapshot(5, document(t, 5000))
 	if err != nil {
@@ -325,7 +329,7 @@
 	}
 }
 
-// randomBlocks returns client blocks that hardly compress.
+// randomBlocks returns client blocks that are nearly incompressible.
 func randomBlocks(n int) []config.ClientBlock {
 	random := rand.New(rand.NewPCG(1, 1))
 	blocks := make([]config.ClientBlock, n)
@@ -340,7 +344,7 @@
 }
 
 func TestLargeDocumentsAreChunked(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.chunkBytes = 128 << 10
 	doc := document(t, 1000)
 	doc.ClientBlocks = append(doc.ClientBlocks, randomBlocks(20_000)...)
@@ -356,7 +360,7 @@
 	written := r.store.Calls(platform.OpCreate)
 	second, err := r.Apply(t.Context(), Proposal{Document: doc, Base: 1})
 	if err != nil || r.store.Calls(platform.OpCreate) != written {
-		t.Errorf("equal client blocks were written again: %v", err)
+		t.Errorf("identical client blocks were written again: %v", err)
 	}
 	r.expectReadable(&second.Record)
 	slices.Reverse(doc.ClientBlocks)
@@ -367,11 +371,11 @@
 	for gen := range config.Generation(HistoryLength + 2) {
 		r.mustApply(2+gen, config.Millis(3000+gen))
 	}
-	r.expectChunks(0, "documents that left the history")
+	r.expectChunks(0, "all chunked documents left the history")
 }
 
-// expectReadable checks that a document can be read back whole.
-func (r *rig) expectReadable(rec *Record) {
+// expectReadable checks that the complete document of a record can be read.
+func (r *harness) expectReadable(rec *Record) {
 	r.t.Helper()
 	packed, err := r.Read(context.Background(), rec, 0)
 	if err != nil {
@@ -382,8 +386,8 @@
 	}
 }
 
-// expectChunks checks how many chunks the store holds.
-func (r *rig) expectChunks(want int, after string) {
+// expectChunks checks the number of chunks in the store.
+func (r *harness) expectChunks(want int, after string) {
 	r.t.Helper()
 	chunks, _, err := r.store.List(context.Background(), platform.KindConfigChunk)
 	if err != nil || len(chunks) != want {
@@ -391,11 +395,13 @@
 	}
 }
 
-// TestChunksFollowTheHeadThatIsReplaced has a first read that is stale: there
-// the client blocks are the same, in the head that is replaced they are not.
+// TestChunksFollowTheHeadThatIsReplaced applies a document after a stale read. The
+// head in the stale read has the same client blocks, the head that is replaced
+// does not. Guards against a record without chunks,
+// written because the stale head already had them.
 func TestChunksFollowTheHeadThatIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		r := newHarness(t)
 		many := document(t, 1000)
 		many.ClientBlocks = append(many.ClientBlocks, randomBlocks(3000)...)
 		first, err := r.Apply(context.Background(), Proposal{Document: many})
@@ -418,11 +424,11 @@
 	})
 }
 
-func TestHeadStaysWithinTheBoundOfValues(t *testing.T) {
+func TestHeadStaysWithinValueLimit(t *testing.T) {
 	var head *Head
 	for gen := range config.Generation(HistoryLength + 2) {
 		body := []byte(strings.Repeat("x", MaxMainBytes))
-		next, value, err := head.succeed(Record{Generation: gen + 1, Main: body})
+		next, value, err := head.successor(Record{Generation: gen + 1, Main: body})
 		if err != nil || len(value) > platform.MaxValueBytes {
 			t.Fatalf("generation %d: %d bytes, %v", gen+1, len(value), err)
 		}
@@ -433,9 +439,9 @@
 	}
 }
 
-func TestBaseThatNobodyHasIsRefused(t *testing.T) {
+func TestNonexistentBaseIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		r := newHarness(t)
 		r.mustApply(0, 1000)
 		_, err := r.apply(9, 2000)
 		var refused *NotStoredError
