--- a/internal/bench/config.go
+++ b/internal/bench/config.go
@@ -130,7 +130,7 @@
 // other.
 func (o *configOperator) told(err error) error {
 	var (
-		unknown   *repository.UnknownError
+		unknown   *repository.UnknownOutcomeError
 		notStored *repository.NotStoredError
 	)
 	switch {
--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -71,7 +71,7 @@
 func adoptTimeHaving(e *config.Encoded, have *config.Snapshot) float64 {
 	p := packed(e)
 	return timePerCall(adoptRepetitionTime, func(int) {
-		opened, err := p.Open()
+		opened, err := p.Unpack()
 		if err != nil {
 			panic(err) // packed right before
 		}
--- a/internal/config/repository/error.go
+++ b/internal/config/repository/error.go
@@ -44,23 +44,23 @@
 	return strings.Join(lines, "; ")
 }
 
-// UnknownError is returned if a write was sent and its outcome could not be
+// UnknownOutcomeError is returned if a write was sent and its outcome could not be
 // determined, neither from its response nor from later reads. The write may still
 // take effect. Applying the same document again on the same base is safe: at most
 // one of the two writes takes effect.
-type UnknownError struct {
+type UnknownOutcomeError struct {
 	WriteID string
 	Step    Step
 	Err     error // last error returned by the store
 }
 
 // Error implements error.
-func (e *UnknownError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("outcome of write %s is unknown at step %s; it may still take effect: %v", e.WriteID, e.Step, e.Err)
 }
 
 // Unwrap returns the last error returned by the store.
-func (e *UnknownError) Unwrap() error { return e.Err }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Err }
 
 // NotStoredError is returned if the document could not be stored and it is
 // certain that nothing was or will be written.
--- a/internal/config/repository/faults_apply_test.go
+++ b/internal/config/repository/faults_apply_test.go
@@ -149,7 +149,7 @@
 		times[rec.Comment]++
 		f.expectReadable(&rec)
 	}
-	var unknown *UnknownError
+	var unknown *UnknownOutcomeError
 	switch n := times["ours"]; {
 	case err == nil && n != 1, errors.As(err, &unknown) && n > 1, err != nil && !errors.As(err, &unknown) && n > 0:
 		f.t.Errorf("Apply returned %v, but the document is in the history %d times", err, n)
--- a/internal/config/repository/packed.go
+++ b/internal/config/repository/packed.go
@@ -28,9 +28,9 @@
 	return p, err
 }
 
-// Open decompresses the document and verifies its hashes. Omitted client blocks
+// Unpack decompresses the document and verifies its hashes. Omitted client blocks
 // remain omitted.
-func (p *Packed) Open() (*config.Encoded, error) {
+func (p *Packed) Unpack() (*config.Encoded, error) {
 	e := &config.Encoded{BlocksHash: p.BlocksHash}
 	var err error
 	if e.Main, err = Decompress(p.Main); err != nil {
@@ -54,7 +54,7 @@
 // Document decompresses, verifies and decodes the document. It fails if client
 // blocks are omitted.
 func (p *Packed) Document() (*config.Document, error) {
-	e, err := p.Open()
+	e, err := p.Unpack()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/repository/race_test.go
+++ b/internal/config/repository/race_test.go
@@ -134,7 +134,7 @@
 		last = rec.Generation
 	}
 	for comment, err := range results.errs {
-		var unknown *UnknownError
+		var unknown *UnknownOutcomeError
 		n := times[comment]
 		switch {
 		case err == nil && n != 1, errors.As(err, &unknown) && n > 1, err != nil && !errors.As(err, &unknown) && n > 0:
--- a/internal/config/repository/repository.go
+++ b/internal/config/repository/repository.go
@@ -150,7 +150,7 @@
 
 // Apply validates a document and stores it with an update that is conditional on
 // the generation that the operator started from. It returns a
-// *config.InvalidError, *ConflictError, *UnknownError or *NotStoredError.
+// *config.InvalidError, *ConflictError, *UnknownOutcomeError or *NotStoredError.
 func (r *Repository) Apply(ctx context.Context, p Proposal) (*Accepted, error) {
 	if err := p.validate(); err != nil {
 		return nil, err
@@ -314,7 +314,7 @@
 		w.deleteChunks(w.chunks)
 		return nil, w.conflictError()
 	case StepUnknown:
-		return nil, &UnknownError{WriteID: w.writeID, Step: w.endedAt, Err: w.lastErr}
+		return nil, &UnknownOutcomeError{WriteID: w.writeID, Step: w.endedAt, Err: w.lastErr}
 	default:
 		w.deleteChunks(w.chunks)
 		return nil, &NotStoredError{Step: w.endedAt, Err: w.lastErr}
--- a/internal/config/repository/repository_test.go
+++ b/internal/config/repository/repository_test.go
@@ -226,7 +226,7 @@
 					return platformtest.FaultNone
 				})
 				_, err := r.apply(1, 2000)
-				var unknown *UnknownError
+				var unknown *UnknownOutcomeError
 				if !errors.As(err, &unknown) || unknown.WriteID == "" {
 					t.Fatalf("got %v, want an unknown outcome", err)
 				}
--- a/internal/confsync/service.go
+++ b/internal/confsync/service.go
@@ -184,7 +184,7 @@
 		have = cur.snap
 		p.Blocks = nil // need not be opened
 	}
-	encoded, err := p.Open()
+	encoded, err := p.Unpack()
 	if err != nil {
 		return nil, s.unreadable(gen, err)
 	}
--- a/internal/operator/configapi/describe.go
+++ b/internal/operator/configapi/describe.go
@@ -27,7 +27,7 @@
 	var (
 		invalid   *config.InvalidError
 		conflict  *repository.ConflictError
-		unknown   *repository.UnknownError
+		unknown   *repository.UnknownOutcomeError
 		notStored *repository.NotStoredError
 	)
 	described := &edge.OperatorError{Message: trace.UserMessage(err)}
--- a/internal/operator/console/pages.go
+++ b/internal/operator/console/pages.go
@@ -176,7 +176,7 @@
 func (c *Console) notApplied(w http.ResponseWriter, s *session, d *draft, p reviewPage, err error) {
 	var conflict *repository.ConflictError
 	var invalid *config.InvalidError
-	var unknown *repository.UnknownError
+	var unknown *repository.UnknownOutcomeError
 	switch {
 	case errors.As(err, &conflict):
 		d.conflict = conflict
