--- a/internal/config/hosts.go
+++ b/internal/config/hosts.go
@@ -23,7 +23,7 @@
 	Class          string   `json:"class"`       // name of a class
 	Repeat         Repeat   `json:"repeat"`
 	TimeoutMS      Millis   `json:"timeout_ms"`                // upper limit of the request timeout; 0: unlimited
-	ObjectiveMS    Millis   `json:"objective_ms"`              // latency objective of an answer; 0: none
+	ObjectiveMS    Millis   `json:"objective_ms"`              // latency within which an answer has its full worth; 0: none
 	MaxAttempts    int      `json:"max_attempts"`              // maximum number of targets that a request may be sent to
 	AllowedRegions []string `json:"allowed_regions,omitempty"` // regions in which requests may run; empty: all
 	Affinity       bool     `json:"affinity,omitempty"`        // prefer targets that have served the same object, because they answer faster
