--- a/internal/config/repository/packed.go
+++ b/internal/config/repository/packed.go
@@ -6,12 +6,13 @@
 	"masticturn/internal/config"
 )
 
-// Packed is a compressed document with its hashes, as it is stored and sent.
+// Packed is a compressed document with its hashes, in the form in which it is
+// stored and sent.
 type Packed struct {
 	Hash       uint64
 	BlocksHash uint64
 	Main       []byte
-	Blocks     []byte // nil when there are none or when they are left out
+	Blocks     []byte // nil if there are none or they are omitted
 }
 
 // Pack compresses both parts of a document.
@@ -27,16 +28,16 @@
 	return p, err
 }
 
-// Open decompresses a document and checks its hashes. Client blocks that are
-// left out stay so.
-func (p *Packed) Open() (*config.Encoded, error) {
+// Unpack decompresses the document and verifies its hashes. Omitted client blocks
+// remain omitted.
+func (p *Packed) Unpack() (*config.Encoded, error) {
 	e := &config.Encoded{BlocksHash: p.BlocksHash}
 	var err error
 	if e.Main, err = Decompress(p.Main); err != nil {
 		return nil, err
 	}
 	if got := e.Hash(); got != p.Hash {
-		return nil, trace.CompareFailed("document has hash %016x, its record says %016x", got, p.Hash)
+		return nil, trace.CompareFailed("document hash mismatch: computed %016x, recorded %016x", got, p.Hash)
 	}
 	if len(p.Blocks) == 0 {
 		return e, nil
@@ -44,15 +45,16 @@
 	if e.Blocks, err = Decompress(p.Blocks); err != nil {
 		return nil, err
 	}
-	if got := config.HashOfBlocks(e.Blocks); got != p.BlocksHash {
-		return nil, trace.CompareFailed("client blocks have hash %016x, their record says %016x", got, p.BlocksHash)
+	if got := config.HashBlocks(e.Blocks); got != p.BlocksHash {
+		return nil, trace.CompareFailed("client blocks hash mismatch: computed %016x, recorded %016x", got, p.BlocksHash)
 	}
 	return e, nil
 }
 
-// Document decompresses, checks and decodes a document without parts left out.
+// Document decompresses, verifies and decodes the document. It fails if client
+// blocks are omitted.
 func (p *Packed) Document() (*config.Document, error) {
-	e, err := p.Open()
+	e, err := p.Unpack()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/confsync/service.go
+++ b/internal/confsync/service.go
@@ -183,7 +183,7 @@
 		have = cur.snap
 		p.Blocks = nil // need not be unpacked
 	}
-	encoded, err := p.Open()
+	encoded, err := p.Unpack()
 	if err != nil {
 		return nil, s.logUnreadable(gen, err)
 	}
