--- a/internal/losses/cause.go
+++ b/internal/losses/cause.go
@@ -5,96 +5,95 @@
 	"time"
 )
 
-// Cause is what cost a request its worth, or part of it.
+// Cause is the reason why a request lost all or part of its worth.
 type Cause string
 
-// The causes, in the order in which they are looked for: the first that explains
-// a loss by itself is named.
+// The causes, in the order in which they are checked. A loss is attributed to the
+// first one that explains it alone.
 const (
-	CauseRefused    Cause = "refused, and not back"   // not run; the caller's last try
-	CauseFailed     Cause = "failed by a target"      // answered with a failure, or cut
-	CauseUnanswered Cause = "no answer in its time"   // sent, and nothing came
-	CauseComeback   Cause = "refused, back and late"  // its own way was short enough
-	CauseSentAgain  Cause = "sent more than once"     // another target had refused or failed it
-	CauseFirstRun   Cause = "first run of its object" // at that target
-	CauseWaitedHere Cause = "waited at the VM"        // for room at a target
-	CauseTrip       Cause = "way to another region"   // in its own region it would have been on time
-	CauseWaited     Cause = "waited at the target"    // all slots were in use by the VM's estimate
-	CauseLongRun    Cause = "long run"                // none of these
+	CauseRefused          Cause = "refused, and not back"   // not run, and the caller did not retry
+	CauseFailed           Cause = "failed by a target"      // error response, or the response was cut off
+	CauseUnanswered       Cause = "no answer in its time"   // sent, without a response
+	CauseRetriedLate      Cause = "refused, back and late"  // without the earlier tries it would have been on time
+	CauseMultipleAttempts Cause = "sent more than once"     // another target refused it or failed
+	CauseFirstRun         Cause = "first run of its object" // on that target
+	CauseWaitedAtVM       Cause = "waited at the VM"        // for a free slot at a target
+	CauseRemoteRegion     Cause = "way to another region"   // on time without the round trip between regions
+	CauseWaitedAtTarget   Cause = "waited at the target"    // the VM estimated that all slots were in use
+	CauseSlowTarget       Cause = "long run"                // none of the above
 )
 
-// Causes lists all causes.
+// Causes returns all causes in the order in which they are checked.
 func Causes() []Cause {
 	return []Cause{
-		CauseRefused, CauseFailed, CauseUnanswered, CauseComeback, CauseSentAgain,
-		CauseFirstRun, CauseWaitedHere, CauseTrip, CauseWaited, CauseLongRun,
+		CauseRefused, CauseFailed, CauseUnanswered, CauseRetriedLate, CauseMultipleAttempts,
+		CauseFirstRun, CauseWaitedAtVM, CauseRemoteRegion, CauseWaitedAtTarget, CauseSlowTarget,
 	}
 }
 
-// usualRuns returns the median run of each rule's requests that met nothing
-// unusual: at a target of the own region that knew the object and had room.
-func (log *Log) usualRuns() map[string]time.Duration {
-	runs := make(map[string][]time.Duration)
+// typicalLatencies returns the median target latency for each rule. It covers requests that were
+// served on the first attempt by a target in the VM's region that knew the object and had a free slot.
+func (log *Log) typicalLatencies() map[string]time.Duration {
+	latencies := make(map[string][]time.Duration)
 	for _, r := range log.requests {
-		if p := r.last(); r.served() && r.attempts == 1 && p != nil && p.known && !p.full && p.region == log.regions[r.vm] {
-			runs[r.rule] = append(runs[r.rule], r.sent)
+		if p := r.lastPlacement(); r.served() && r.attempts == 1 && p != nil && p.known && !p.full && p.region == log.regions[r.vm] {
+			latencies[r.rule] = append(latencies[r.rule], r.targetLatency)
 		}
 	}
-	out := make(map[string]time.Duration, len(runs))
-	for rule, all := range runs {
+	out := make(map[string]time.Duration, len(latencies))
+	for rule, all := range latencies {
 		slices.Sort(all)
 		out[rule] = all[len(all)/2]
 	}
 	return out
 }
 
-// before is how long the caller had been trying before this request came.
-func (r *request) before() time.Duration {
-	if r.first == nil {
+// sinceFirstTry returns the time between the caller's first try and this one.
+func (r *request) sinceFirstTry() time.Duration {
+	if r.firstTry == nil {
 		return 0
 	}
-	return r.arrived.Sub(r.first.arrived)
+	return r.arrived.Sub(r.firstTry.arrived)
 }
 
-// firstRunFactor is the multiple of a usual run from which a run counts as the first of its object.
-const firstRunFactor = 1.8
+// firstRunLatencyRatio is the ratio to the typical latency above which a run counts as the first run of its object.
+const firstRunLatencyRatio = 1.8
 
-// late returns the cause of a late answer; ok is false if it was in time. Way is the round trip
-// between caller and VM.
-func (r *request) late(usualRun time.Duration, region string, way, trip time.Duration) (cause Cause, ok bool) {
-	whole := r.before() + r.took + way
-	over := whole - r.objective
-	if r.objective == 0 || over <= 0 {
+// lateCause returns the cause of a late answer; ok is false if the answer was in time. callerRTT is the
+// round trip between caller and VM, regionRTT the one between two regions.
+func (r *request) lateCause(typicalLatency time.Duration, region string, callerRTT, regionRTT time.Duration) (cause Cause, ok bool) {
+	total := r.sinceFirstTry() + r.duration + callerRTT
+	excess := total - r.objective
+	if r.objective == 0 || excess <= 0 {
 		return "", false
 	}
-	p := r.last()
+	p := r.lastPlacement()
 	remote := p != nil && p.region != region
-	run := r.sent
+	targetLatency := r.targetLatency
 	if remote {
-		run -= trip
+		targetLatency -= regionRTT
 	}
 	switch {
-	case r.before() >= over:
-		return CauseComeback, true
+	case r.sinceFirstTry() >= excess:
+		return CauseRetriedLate, true
 	case r.attempts > 1:
-		return CauseSentAgain, true
+		return CauseMultipleAttempts, true
 	case p == nil:
-		return CauseLongRun, true
-	case !p.known && usualRun > 0 && float64(run) > firstRunFactor*float64(usualRun):
+		return CauseSlowTarget, true
+	case !p.known && typicalLatency > 0 && float64(targetLatency) > firstRunLatencyRatio*float64(typicalLatency):
 		return CauseFirstRun, true
-	case p.waited >= over:
-		return CauseWaitedHere, true
-	case remote && trip >= over:
-		return CauseTrip, true
+	case p.waited >= excess:
+		return CauseWaitedAtVM, true
+	case remote && regionRTT >= excess:
+		return CauseRemoteRegion, true
 	case p.full:
-		return CauseWaited, true
+		return CauseWaitedAtTarget, true
 	}
-	return CauseLongRun, true
+	return CauseSlowTarget, true
 }
 
-// unserved returns the cause of a request that got no good answer, "" when the
-// caller is to blame.
-func (r *request) unserved() Cause {
+// failureCause returns the cause of a request without a good answer.
+func (r *request) failureCause() Cause {
 	switch {
 	case r.notRun:
 		return CauseRefused
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -11,22 +11,22 @@
 	"masticturn/internal/logtrace"
 )
 
-// story writes the lines of one request. All times are milliseconds since the
-// first one.
-type story struct {
+// loggedRequest describes a request as the VM logs it. All times are in milliseconds;
+// at is relative to epoch.
+type loggedRequest struct {
 	id, vm, caller, object string
 	at, took, sent         int
 	attempts, status       int
 	region                 string
 	known                  bool
 	own, waited            int
-	failed                 string // its outcome; "": answered
+	failed                 string // outcome of a failed request; "" if answered
 	retryAfter             int
 }
 
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-func (s story) lines() string {
+func (s loggedRequest) logLines() string {
 	end := epoch.Add(time.Duration(s.at+s.took) * time.Millisecond).Format(time.RFC3339Nano)
 	head := fmt.Sprintf(`"request_id":%q,"vm":%q,"time":%q`, s.id, s.vm, end)
 	tail := fmt.Sprintf(`"caller":"%s:1","rule":"r","class":"c","objective_ms":250,"took_ms":%d,"attempts":%d,"status":%d`, s.caller, s.took, s.attempts, s.status)
@@ -42,16 +42,16 @@
 	return placed + fmt.Sprintf("{\"event\":5006,%s,%s,\"sent_ms\":%d}\n", head, tail, s.sent)
 }
 
-func tableOf(t *testing.T, stories ...story) *Table {
+func buildTable(t *testing.T, requests ...loggedRequest) *Table {
 	t.Helper()
 	var b strings.Builder
 	fmt.Fprintf(&b, "{\"event\":1001,\"vm\":\"vm-1\",\"region\":\"a\",\"time\":%q}\n", epoch.Format(time.RFC3339Nano))
-	for i := range 20 { // what is usual: 80 ms
-		s := story{id: fmt.Sprint("u", i), vm: "vm-1", caller: "u", object: "o", at: i, took: 82, sent: 80, attempts: 1, status: 200, region: "a", known: true}
-		b.WriteString(s.lines())
+	for i := range 20 { // typical latency: 80 ms
+		s := loggedRequest{id: fmt.Sprint("u", i), vm: "vm-1", caller: "u", object: "o", at: i, took: 82, sent: 80, attempts: 1, status: 200, region: "a", known: true}
+		b.WriteString(s.logLines())
 	}
-	for _, s := range stories {
-		b.WriteString(s.lines())
+	for _, s := range requests {
+		b.WriteString(s.logLines())
 	}
 	lines, err := logtrace.Read(strings.NewReader(b.String()))
 	if err != nil {
@@ -61,34 +61,34 @@
 }
 
 func TestCauses(t *testing.T) {
-	good := story{id: "x", vm: "vm-1", caller: "1.1.1.1", object: "7", at: 100, took: 90, sent: 85, attempts: 1, status: 200, region: "a", known: true}
-	with := func(change func(*story)) story {
+	good := loggedRequest{id: "x", vm: "vm-1", caller: "1.1.1.1", object: "7", at: 100, took: 90, sent: 85, attempts: 1, status: 200, region: "a", known: true}
+	with := func(change func(*loggedRequest)) loggedRequest {
 		s := good
 		change(&s)
 		return s
 	}
 	tests := []struct {
-		name  string
-		story story
-		want  Cause // "": nothing is lost
+		name    string
+		request loggedRequest
+		want    Cause // "" if nothing is lost
 	}{
-		{"on time", good, ""},
-		{"its objective is met with the way to the caller", with(func(s *story) { s.took, s.sent = 244, 240 }), ""},
-		{"a first run", with(func(s *story) { s.known, s.took, s.sent = false, 290, 285 }), CauseFirstRun},
-		{"the VM did not know, and it was no first run", with(func(s *story) { s.known, s.waited, s.took, s.sent = false, 200, 290, 85 }), CauseWaitedHere},
-		{"waited here", with(func(s *story) { s.waited, s.took = 200, 290 }), CauseWaitedHere},
-		{"all slots in use", with(func(s *story) { s.own, s.took, s.sent = 6, 290, 285 }), CauseWaited},
-		{"another region", with(func(s *story) { s.region, s.took, s.sent = "b", 290, 285 }), CauseTrip},
-		{"another region would not do", with(func(s *story) { s.region, s.took, s.sent = "b", 390, 385 }), CauseLongRun},
-		{"long", with(func(s *story) { s.took, s.sent = 390, 385 }), CauseLongRun},
-		{"sent twice", with(func(s *story) { s.attempts, s.took = 2, 290 }), CauseSentAgain},
-		{"refused", story{id: "x", vm: "vm-1", caller: "1.1.1.1", object: "7", at: 100, took: 60, attempts: 1, status: 503, failed: "not-run"}, CauseRefused},
-		{"no answer", with(func(s *story) { s.status, s.failed = 504, "unknown" }), CauseUnanswered},
-		{"cut", with(func(s *story) { s.status, s.failed = 502, "unknown" }), CauseFailed},
-		{"a failure of the target", with(func(s *story) { s.status = 500 }), CauseFailed},
+		{"answered in time", good, ""},
+		{"exactly in time with the round trip to the caller", with(func(s *loggedRequest) { s.took, s.sent = 244, 240 }), ""},
+		{"first run", with(func(s *loggedRequest) { s.known, s.took, s.sent = false, 290, 285 }), CauseFirstRun},
+		{"object not known, but latency too low for a first run", with(func(s *loggedRequest) { s.known, s.waited, s.took, s.sent = false, 200, 290, 85 }), CauseWaitedAtVM},
+		{"waited at the VM", with(func(s *loggedRequest) { s.waited, s.took = 200, 290 }), CauseWaitedAtVM},
+		{"all slots in use", with(func(s *loggedRequest) { s.own, s.took, s.sent = 6, 290, 285 }), CauseWaitedAtTarget},
+		{"other region", with(func(s *loggedRequest) { s.region, s.took, s.sent = "b", 290, 285 }), CauseRemoteRegion},
+		{"other region, but late without its round trip too", with(func(s *loggedRequest) { s.region, s.took, s.sent = "b", 390, 385 }), CauseSlowTarget},
+		{"slow target", with(func(s *loggedRequest) { s.took, s.sent = 390, 385 }), CauseSlowTarget},
+		{"two attempts", with(func(s *loggedRequest) { s.attempts, s.took = 2, 290 }), CauseMultipleAttempts},
+		{"refused", loggedRequest{id: "x", vm: "vm-1", caller: "1.1.1.1", object: "7", at: 100, took: 60, attempts: 1, status: 503, failed: "not-run"}, CauseRefused},
+		{"no answer", with(func(s *loggedRequest) { s.status, s.failed = 504, "unknown" }), CauseUnanswered},
+		{"response cut off", with(func(s *loggedRequest) { s.status, s.failed = 502, "unknown" }), CauseFailed},
+		{"error response", with(func(s *loggedRequest) { s.status = 500 }), CauseFailed},
 	}
 	for _, tt := range tests {
-		table := tableOf(t, tt.story)
+		table := buildTable(t, tt.request)
 		switch {
 		case tt.want == "" && len(table.Losses) == 0:
 		case tt.want != "" && len(table.Losses) == 1 && table.Losses[0].Cause == tt.want:
@@ -98,32 +98,31 @@
 	}
 }
 
-// What became of a refused request shows in the next try of its caller, if there
-// is one.
-func TestCallersThatComeBack(t *testing.T) {
-	refused := story{id: "x", vm: "vm-1", caller: "1.1.1.1", object: "7", at: 100, took: 60, attempts: 1, status: 503, failed: "not-run", retryAfter: 100}
-	back := story{id: "y", vm: "vm-1", caller: "1.1.1.1", object: "7", at: 265, took: 90, sent: 85, attempts: 1, status: 200, region: "a", known: true}
-	late := tableOf(t, refused, back)
-	if len(late.Losses) != 1 || late.Losses[0].Cause != CauseComeback || late.Losses[0].At != 100*time.Millisecond || late.Owed != 42 {
-		t.Errorf("back, and late by all: %+v, %v owed", late.Losses, late.Owed)
-	}
-	back.at = 220
-	if early := tableOf(t, refused, back); len(early.Losses) != 0 {
-		t.Errorf("back in time: %+v", early.Losses)
-	}
-	back.object = "8"
-	if other := tableOf(t, refused, back); len(other.Losses) != 1 || other.Losses[0].Cause != CauseRefused {
-		t.Errorf("another object is another request: %+v", other.Losses)
+// A refused request that the caller retries counts once: its last try decides.
+func TestRetriesAreLinked(t *testing.T) {
+	refused := loggedRequest{id: "x", vm: "vm-1", caller: "1.1.1.1", object: "7", at: 100, took: 60, attempts: 1, status: 503, failed: "not-run", retryAfter: 100}
+	retry := loggedRequest{id: "y", vm: "vm-1", caller: "1.1.1.1", object: "7", at: 265, took: 90, sent: 85, attempts: 1, status: 200, region: "a", known: true}
+	late := buildTable(t, refused, retry)
+	if len(late.Losses) != 1 || late.Losses[0].Cause != CauseRetriedLate || late.Losses[0].At != 100*time.Millisecond || late.TotalWorth != 42 {
+		t.Errorf("late retry: got losses %+v, total worth %v", late.Losses, late.TotalWorth)
+	}
+	retry.at = 220
+	if early := buildTable(t, refused, retry); len(early.Losses) != 0 {
+		t.Errorf("retry in time: got losses %+v", early.Losses)
+	}
+	retry.object = "8"
+	if other := buildTable(t, refused, retry); len(other.Losses) != 1 || other.Losses[0].Cause != CauseRefused {
+		t.Errorf("request for another object: got losses %+v", other.Losses)
 	}
 }
 
-// The sums by whatever key add up to what was lost.
+// The sums by each key add up to the total lost worth.
 func TestSumsAddUp(t *testing.T) {
-	table := tableOf(t,
-		story{id: "x", vm: "vm-1", caller: "1.1.1.1", object: "7", at: 100, took: 60, attempts: 1, status: 503, failed: "not-run"},
-		story{id: "y", vm: "vm-2", caller: "1.1.1.2", object: "7", at: 4100, took: 390, sent: 385, attempts: 1, status: 200, region: "a", known: true})
+	table := buildTable(t,
+		loggedRequest{id: "x", vm: "vm-1", caller: "1.1.1.1", object: "7", at: 100, took: 60, attempts: 1, status: 503, failed: "not-run"},
+		loggedRequest{id: "y", vm: "vm-2", caller: "1.1.1.2", object: "7", at: 4100, took: 390, sent: 385, attempts: 1, status: 200, region: "a", known: true})
 	if lost := table.Lost(); math.Abs(lost-3.6) > 1e-9 {
-		t.Errorf("%v lost", lost)
+		t.Errorf("got lost worth %v, want 3.6", lost)
 	}
 	for name, key := range map[string]func(*Loss) string{"rule": ByRule, "region": ByRegion, "window": table.ByWindow} {
 		sum := 0.0
@@ -133,7 +132,7 @@
 			}
 		}
 		if math.Abs(sum-table.Lost()) > 1e-9 {
-			t.Errorf("by %s: %v of %v", name, sum, table.Lost())
+			t.Errorf("sums by %s: got %v, want %v", name, sum, table.Lost())
 		}
 	}
 	var out bytes.Buffer
@@ -148,7 +147,7 @@
 	}
 	for _, bad := range []string{"", "a", "a=1", "a=x/1", "a=1/x"} {
 		if _, _, err := ParseWorth(bad); err == nil {
-			t.Errorf("%q is read", bad)
+			t.Errorf("ParseWorth(%q) succeeded, want an error", bad)
 		}
 	}
 }
--- a/internal/losses/request.go
+++ b/internal/losses/request.go
@@ -1,5 +1,5 @@
-// Package losses attributes late and missing answers to causes from the VMs' logs. Each loss has one
-// cause, so that the table adds up.
+// Package losses attributes late and missing answers to causes using the VMs' logs. Each loss has
+// exactly one cause, so the losses by cause add up to the total.
 package losses
 
 import (
@@ -11,66 +11,66 @@
 	"masticturn/internal/logtrace"
 )
 
-// Events and fields of log lines about requests.
+// Numbers of the log events that are evaluated.
 const (
-	eventStarted  = 1001
-	eventFailed   = 5001
-	eventAnswered = 5006
-	eventPlaced   = 8401
-	eventRefused  = 8402
-	eventLeftOut  = 1011
+	eventStarted      = 1001
+	eventFailed       = 5001
+	eventAnswered     = 5006
+	eventPlaced       = 8401
+	eventRefused      = 8402
+	eventLinesDropped = 1011
 )
 
-// request is one attempt of a caller, as logged by its VM.
+// request is one try of a caller, as logged by the VM that received it.
 type request struct {
 	id, vm, rule, class string
 	arrived             time.Time // at the VM
 	objective           time.Duration
-	caller              string // address without the port: callers come back on new connections
+	caller              string // address without the port, because callers retry on new connections
 	object              string
-	retryAfter          time.Duration // of the answer
-	took                time.Duration // from its arrival to its end here
-	sent                time.Duration // from its last sending to the answer's head
+	retryAfter          time.Duration // sent in the response
+	duration            time.Duration // from arrival at the VM to the end
+	targetLatency       time.Duration // from the last attempt to the response header
 	attempts            int
 	answered            bool
 	status              int
 	step                string
 	notRun              bool
-	places              []place
-	first               *request // the caller's first try; nil: this is it
-	next                *request // the caller's next try; nil: this was the last one
+	placements          []placement
+	firstTry            *request // nil if this is the caller's first try
+	nextTry             *request // nil if this is the caller's last try
 }
 
-// place is one decision to send a request to a target.
-type place struct {
+// placement is one decision to send a request to a target, as logged by the VM.
+type placement struct {
 	at     time.Time
 	target string
 	region string // of the target
 	known  bool   // the VM knew that the target knows the object
-	full   bool   // all slots were in use by the VM's estimate
+	full   bool   // the VM estimated that all slots were in use
 	waited time.Duration
 }
 
-// last returns where the request was sent last; nil when nowhere.
-func (r *request) last() *place {
-	if len(r.places) == 0 {
+// lastPlacement returns the latest placement, or nil if the request was not sent to any target.
+func (r *request) lastPlacement() *placement {
+	if len(r.placements) == 0 {
 		return nil
 	}
-	return &r.places[len(r.places)-1]
+	return &r.placements[len(r.placements)-1]
 }
 
-// Log holds the requests in the lines of all VMs.
+// Log holds the requests found in the log lines of all VMs.
 type Log struct {
-	requests []*request
-	regions  map[string]string // of VMs
-	leftOut  int               // lines dropped by VMs
+	requests     []*request
+	regions      map[string]string // by VM
+	droppedLines int               // lines dropped by VMs
 }
 
-// Read collects the requests in log lines.
+// Read collects the requests from log lines.
 func Read(lines []logtrace.Line) *Log {
 	log := &Log{regions: make(map[string]string)}
 	byID := make(map[string]*request)
-	of := func(l *logtrace.Line) *request {
+	requestFor := func(l *logtrace.Line) *request {
 		id := l.Text("request_id")
 		r := byID[id]
 		if r == nil {
@@ -84,44 +84,44 @@
 		switch l.Event {
 		case eventStarted:
 			log.regions[l.VM] = l.Text("region")
-		case eventLeftOut:
-			log.leftOut += leftOut(l)
+		case eventLinesDropped:
+			log.droppedLines += countDroppedLines(l)
 		case eventPlaced:
-			r := of(l)
+			r := requestFor(l)
 			r.object = l.Text("object")
-			r.places = append(r.places, placeOf(l))
+			r.placements = append(r.placements, parsePlacement(l))
 		case eventRefused:
-			of(l).object = l.Text("object")
+			requestFor(l).object = l.Text("object")
 		case eventAnswered, eventFailed:
-			of(l).end(l)
+			requestFor(l).applyFinalLine(l)
 		}
 	}
 	for _, r := range byID {
-		if !r.arrived.IsZero() { // else its last line was left out
+		if !r.arrived.IsZero() { // zero if the final line was dropped
 			log.requests = append(log.requests, r)
 		}
 	}
 	slices.SortFunc(log.requests, func(a, b *request) int {
 		return cmp.Or(a.arrived.Compare(b.arrived), cmp.Compare(a.id, b.id))
 	})
-	log.link()
+	log.linkRetries()
 	return log
 }
 
-// backWithin is how much later than Retry-After a retry may come.
-const backWithin = time.Second
+// retryGrace is how long after Retry-After a request still counts as a retry.
+const retryGrace = time.Second
 
-// link connects refused requests with the caller's retry: the first one from the same address about
-// the same object after Retry-After.
-func (log *Log) link() {
-	type who struct{ caller, rule, object string }
-	waiting := make(map[who][]*request)
+// linkRetries links each request without a good answer to the caller's retry: the first later request from
+// the same address for the same rule and object that arrives no later than retryGrace after Retry-After.
+func (log *Log) linkRetries() {
+	type retryKey struct{ caller, rule, object string }
+	waiting := make(map[retryKey][]*request)
 	for _, r := range log.requests {
-		key := who{r.caller, r.rule, r.object}
-		for i, before := range waiting[key] {
-			wait := r.arrived.Sub(before.arrived.Add(before.took))
-			if wait >= 0 && wait <= before.retryAfter+backWithin {
-				before.next, r.first = r, cmp.Or(before.first, before)
+		key := retryKey{r.caller, r.rule, r.object}
+		for i, previous := range waiting[key] {
+			wait := r.arrived.Sub(previous.arrived.Add(previous.duration))
+			if wait >= 0 && wait <= previous.retryAfter+retryGrace {
+				previous.nextTry, r.firstTry = r, cmp.Or(previous.firstTry, previous)
 				waiting[key] = slices.Delete(waiting[key], i, i+1)
 				break
 			}
@@ -132,11 +132,11 @@
 	}
 }
 
-// served reports whether the caller got a good answer.
+// served reports whether the caller got a successful answer.
 func (r *request) served() bool { return r.answered && r.status < 300 }
 
-// leftOut returns how many lines about requests a line says were left out.
-func leftOut(l *logtrace.Line) int {
+// countDroppedLines returns the number of dropped request lines that a log line reports.
+func countDroppedLines(l *logtrace.Line) int {
 	counts, _ := l.Fields["lines"].(map[string]any)
 	n := 0
 	for _, event := range []string{"5001", "5006", "8401"} {
@@ -148,9 +148,9 @@
 	return n + int(dropped)
 }
 
-func placeOf(l *logtrace.Line) place {
+func parsePlacement(l *logtrace.Line) placement {
 	known, _ := l.Fields["known"].(bool)
-	return place{
+	return placement{
 		at:     l.At,
 		target: l.Text("peer"),
 		region: l.Text("region"),
@@ -160,15 +160,15 @@
 	}
 }
 
-// end takes in a request's last line.
-func (r *request) end(l *logtrace.Line) {
-	r.took = l.Millis("took_ms")
-	r.arrived = l.At.Add(-r.took)
+// applyFinalLine sets the fields that the request's final log line carries.
+func (r *request) applyFinalLine(l *logtrace.Line) {
+	r.duration = l.Millis("took_ms")
+	r.arrived = l.At.Add(-r.duration)
 	r.rule, r.class = l.Text("rule"), l.Text("class")
 	r.objective = l.Millis("objective_ms")
 	r.caller, _, _ = strings.Cut(l.Text("caller"), ":")
 	r.retryAfter = l.Millis("retry_after_ms")
-	r.sent = l.Millis("sent_ms")
+	r.targetLatency = l.Millis("sent_ms")
 	r.attempts = int(l.Number("attempts"))
 	r.status = int(l.Number("status"))
 	r.answered = l.Event == eventAnswered
--- a/internal/losses/table.go
+++ b/internal/losses/table.go
@@ -12,16 +12,16 @@
 	"github.com/gravitational/trace"
 )
 
-// Worth is what an answer to a request of some class is worth.
+// Worth is the value of an answer to a request of one class.
 type Worth struct {
-	InTime float64 // within its objective
-	Late   float64 // later
+	InTime float64 // answered within the objective
+	Late   float64 // answered after the objective
 }
 
-// DefaultWorth holds for classes of which nothing is said.
+// DefaultWorth applies to classes without a configured worth.
 var DefaultWorth = Worth{InTime: 1, Late: 0.2}
 
-// ParseWorth reads "name=worth/late".
+// ParseWorth parses "NAME=WORTH/LATE".
 func ParseWorth(text string) (class string, w Worth, err error) {
 	class, numbers, ok := strings.Cut(text, "=")
 	inTime, late, both := strings.Cut(numbers, "/")
@@ -30,65 +30,65 @@
 		w.Late, err = strconv.ParseFloat(late, 64)
 	}
 	if !ok || !both || err != nil {
-		return "", Worth{}, trace.BadParameter("got %q; allowed is NAME=WORTH/LATE with two numbers", text)
+		return "", Worth{}, trace.BadParameter("invalid worth %q: want NAME=WORTH/LATE with two numbers", text)
 	}
 	return class, w, nil
 }
 
-// Options say how logs are counted.
+// Options configures how losses are computed.
 type Options struct {
 	Worth  map[string]Worth // by class
-	Way    time.Duration    // between a caller and its VM, there and back
-	Trip   time.Duration    // between two regions, there and back
-	Window time.Duration    // by which losses are counted; 0: two seconds
+	Way    time.Duration    // round trip between a caller and its VM
+	Trip   time.Duration    // round trip between two regions
+	Window time.Duration    // length of the windows of ByWindow; 0 means defaultWindow
 }
 
-// windowDefault is the span of the windows in which the users count.
-const windowDefault = 2 * time.Second
+// defaultWindow equals the window length of the users' report.
+const defaultWindow = 2 * time.Second
 
-// Loss is what one request lost.
+// Loss is the worth that one request lost, with its cause.
 type Loss struct {
 	Cause  Cause
 	ID     string
 	VM     string
 	Rule   string
-	Region string        // of its VM
-	At     time.Duration // since the first request of all
-	Worth  float64       // lost
+	Region string        // region of the VM
+	At     time.Duration // first try, relative to the first request in the logs
+	Worth  float64       // lost worth
 }
 
-// Table is where callers lost.
+// Table holds the losses of all requests in the logs.
 type Table struct {
-	Requests int     // tries of callers in the logs
-	Owed     float64 // worth of what they asked for
-	Losses   []Loss
-	LeftOut  int // lines dropped by VMs, which are missing here
-	window   time.Duration
+	Requests     int     // every try counts
+	TotalWorth   float64 // worth of all requests if answered in time
+	Losses       []Loss
+	DroppedLines int // log lines dropped by VMs; their requests may be missing
+	window       time.Duration
 }
 
-// Count makes the table of a log.
+// Count computes the losses of the requests in a log.
 func (log *Log) Count(o Options) *Table {
-	t := &Table{Requests: len(log.requests), LeftOut: log.leftOut, window: cmp.Or(o.Window, windowDefault)}
+	t := &Table{Requests: len(log.requests), DroppedLines: log.droppedLines, window: cmp.Or(o.Window, defaultWindow)}
 	if len(log.requests) == 0 {
 		return t
 	}
-	runs := log.usualRuns()
+	typicalLatencies := log.typicalLatencies()
 	start := log.requests[0].arrived
 	for _, r := range log.requests {
-		if r.objective == 0 || r.next != nil {
-			continue // it was routed nowhere, or what became of it shows in the next try
+		if r.objective == 0 || r.nextTry != nil {
+			continue // not routed, or the caller retried: the last try counts
 		}
 		w, ok := o.Worth[r.class]
 		if !ok {
 			w = DefaultWorth
 		}
-		t.Owed += w.InTime
+		t.TotalWorth += w.InTime
 		region := log.regions[r.vm]
-		l := Loss{ID: r.id, VM: r.vm, Rule: r.rule, Region: region, At: r.arrived.Add(-r.before()).Sub(start)}
+		l := Loss{ID: r.id, VM: r.vm, Rule: r.rule, Region: region, At: r.arrived.Add(-r.sinceFirstTry()).Sub(start)}
 		if !r.served() {
-			l.Cause, l.Worth = r.unserved(), w.InTime
+			l.Cause, l.Worth = r.failureCause(), w.InTime
 			t.Losses = append(t.Losses, l)
-		} else if cause, late := r.late(runs[r.rule], region, o.Way, o.Trip); late {
+		} else if cause, late := r.lateCause(typicalLatencies[r.rule], region, o.Way, o.Trip); late {
 			l.Cause, l.Worth = cause, w.InTime-w.Late
 			t.Losses = append(t.Losses, l)
 		}
@@ -96,7 +96,7 @@
 	return t
 }
 
-// Lost returns the sum of all losses.
+// Lost returns the total lost worth.
 func (t *Table) Lost() float64 {
 	sum := 0.0
 	for i := range t.Losses {
@@ -105,7 +105,7 @@
 	return sum
 }
 
-// Sums adds the losses up by cause and a key of each.
+// Sums returns the lost worth by cause and by the given key.
 func (t *Table) Sums(key func(*Loss) string) map[Cause]map[string]float64 {
 	sums := make(map[Cause]map[string]float64)
 	for i := range t.Losses {
@@ -118,16 +118,18 @@
 	return sums
 }
 
-// ByRule, ByRegion and ByWindow are keys of Sums.
-func ByRule(l *Loss) string   { return l.Rule }
+// ByRule is a key for Sums.
+func ByRule(l *Loss) string { return l.Rule }
+
+// ByRegion is a key for Sums.
 func ByRegion(l *Loss) string { return l.Region }
 
-// ByWindow returns the key of the span in which the caller first asked.
+// ByWindow is a key for Sums: the start of the window that contains the caller's first try.
 func (t *Table) ByWindow(l *Loss) string {
 	return fmt.Sprintf("%3.0fs", (l.At / t.window * t.window).Seconds())
 }
 
-// ByCause returns what was lost to each cause, the largest first.
+// ByCause returns the lost worth of each cause that occurs, largest first.
 func (t *Table) ByCause() []Sum {
 	sums := t.Sums(func(*Loss) string { return "" })
 	var out []Sum
@@ -140,13 +142,13 @@
 	return out
 }
 
-// Sum is what was lost to a cause.
+// Sum is the worth lost to one cause.
 type Sum struct {
 	Cause Cause
 	Worth float64
 }
 
-// Examples returns the first requests that lost to a cause, spread over time.
+// Examples returns up to count losses with the given cause, spread evenly over time.
 func (t *Table) Examples(c Cause, count int) []*Loss {
 	var all []*Loss
 	for i := range t.Losses {
@@ -164,8 +166,8 @@
 	return out
 }
 
-// keys returns the keys of sums, sorted.
-func keys(sums map[Cause]map[string]float64) []string {
+// sortedKeys returns the keys of all inner maps, sorted and without duplicates.
+func sortedKeys(sums map[Cause]map[string]float64) []string {
 	seen := make(map[string]bool)
 	for _, s := range sums {
 		for k := range s {
