--- a/internal/logtrace/logtrace.go
+++ b/internal/logtrace/logtrace.go
@@ -1,6 +1,6 @@
-// Package logtrace finds the story of one request in the logs of several VMs:
-// the lines that carry its id, and the lines about the targets that it met and
-// the VMs that served it, from shortly before to its end.
+// Package logtrace collects the log lines about one request from the logs of
+// several VMs: the lines with its id, and the lines about its targets and VMs
+// from shortly before its start to its end.
 package logtrace
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Line is one line of a log.
+// Line is one parsed log line.
 type Line struct {
 	At      time.Time
 	VM      string
@@ -27,7 +27,7 @@
 	Fields  map[string]any // all other fields
 }
 
-// Fields of log lines, as package telemetry writes them.
+// Names of the fields in log lines, as written by package telemetry.
 const (
 	fieldTime    = "time"
 	fieldVM      = "vm"
@@ -39,24 +39,24 @@
 	fieldDigest  = "digest"
 )
 
-// maxLineBytes bounds a line; longer ones are skipped.
+// maxLineBytes is the maximum length of a log line; Read fails on longer ones.
 const maxLineBytes = 1 << 20
 
-// Read returns the lines of a log. It skips prefixes before a line's JSON object, such as those of log
-// collectors, and lines without one.
+// Read parses the lines of a log. It ignores text before a line's JSON object, such as the prefixes of log
+// collectors, and skips lines that hold no JSON object of a log event.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
-		if l, ok := parse(scanner.Bytes()); ok {
+		if l, ok := parseLine(scanner.Bytes()); ok {
 			lines = append(lines, l)
 		}
 	}
 	return lines, trace.Wrap(scanner.Err(), "read log")
 }
 
-func parse(raw []byte) (Line, bool) {
+func parseLine(raw []byte) (Line, bool) {
 	start := bytes.IndexByte(raw, '{')
 	if start < 0 {
 		return Line{}, false
@@ -82,24 +82,24 @@
 	return l, true
 }
 
-// Text returns a field as text, "" when it is absent.
+// Text returns a field as text, or "" if it is absent or no text.
 func (l *Line) Text(field string) string {
 	s, _ := l.Fields[field].(string)
 	return s
 }
 
-// Number returns a field as a number, 0 when it is absent.
+// Number returns a field as a number, or 0 if it is absent or no number.
 func (l *Line) Number(field string) float64 {
 	n, _ := l.Fields[field].(float64)
 	return n
 }
 
-// Millis returns a field of whole milliseconds as a time, 0 when it is absent.
+// Millis returns a field in whole milliseconds as a duration, or 0 if it is absent or no number.
 func (l *Line) Millis(field string) time.Duration {
 	return time.Duration(l.Number(field)) * time.Millisecond
 }
 
-// String returns the line for people.
+// String formats the line for display, with its fields sorted by name.
 func (l *Line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %d %s", l.At.UTC().Format("15:04:05.000"), l.VM, l.Event, l.Message)
@@ -111,9 +111,14 @@
 	return b.String()
 }
 
-// Story returns the lines about a request in order of time: its own; those without a request id about
-// its targets, or on its VMs, from the given time before its first line up to its last; and all about
-// its digest. It is empty if no line has the id.
+// Story returns the lines about a request, sorted by time and VM:
+//
+//   - the lines with its id;
+//   - the lines of its VMs without a request id that name one of its targets or no target, from the given
+//     duration before its first line up to its last line;
+//   - the lines of all VMs without a request id that name its digest, up to its last line.
+//
+// It returns nil if no line has the id.
 func Story(lines []Line, id string, before time.Duration) []Line {
 	own := slices.DeleteFunc(slices.Clone(lines), func(l Line) bool { return l.Text(fieldRequest) != id })
 	if len(own) == 0 {
@@ -129,7 +134,7 @@
 			peers[p] = true
 		}
 	}
-	var story []Line
+	var selected []Line
 	for i := range lines {
 		l := &lines[i]
 		switch {
@@ -140,10 +145,10 @@
 		case !vms[l.VM] || l.Text(fieldPeer) != "" && !peers[l.Text(fieldPeer)]:
 			continue
 		}
-		story = append(story, *l)
+		selected = append(selected, *l)
 	}
-	slices.SortStableFunc(story, byTime)
-	return story
+	slices.SortStableFunc(selected, byTime)
+	return selected
 }
 
 func byTime(a, b Line) int {
--- a/internal/logtrace/logtrace_test.go
+++ b/internal/logtrace/logtrace_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const logs = `prefix {"event":8401,"msg":"request placed","peer":"t1","request_id":"a","time":"2026-01-02T03:04:05.100Z","vm":"vm1","level":"info"}
+const logText = `prefix {"event":8401,"msg":"request placed","peer":"t1","request_id":"a","time":"2026-01-02T03:04:05.100Z","vm":"vm1","level":"info"}
 {"event":8104,"msg":"target changed","peer":"t1","state":"leaving","time":"2026-01-02T03:04:04.900Z","vm":"vm1"}
 {"event":8104,"msg":"target changed","peer":"t9","state":"leaving","time":"2026-01-02T03:04:04.900Z","vm":"vm1"}
 {"event":8104,"msg":"target changed","peer":"t1","state":"leaving","time":"2026-01-02T03:04:04.900Z","vm":"vm2"}
@@ -19,7 +19,7 @@
 `
 
 func TestStory(t *testing.T) {
-	lines, err := Read(strings.NewReader(logs))
+	lines, err := Read(strings.NewReader(logText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,12 +32,12 @@
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if Story(lines, "unknown", time.Second) != nil {
-		t.Error("a request that no line names has a story")
+		t.Error("got lines for an unknown request id, want none")
 	}
 }
 
-func TestLineForPeople(t *testing.T) {
-	lines, err := Read(strings.NewReader(logs))
+func TestLineString(t *testing.T) {
+	lines, err := Read(strings.NewReader(logText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestStoryTellsOfTheRequestsDigest(t *testing.T) {
+func TestStoryIncludesDigestLines(t *testing.T) {
 	lines, err := Read(strings.NewReader(`{"event":5302,"msg":"request is in quarantine","digest":"d1","time":"2026-01-02T03:00:00Z","vm":"vm2"}
 {"event":5302,"msg":"request is in quarantine","digest":"d2","time":"2026-01-02T03:00:00Z","vm":"vm1"}
 {"event":5009,"msg":"run broken by its target","digest":"d1","request_id":"b","time":"2026-01-02T03:00:00Z","vm":"vm2"}
