--- a/internal/command/bench.go
+++ b/internal/command/bench.go
@@ -11,7 +11,7 @@
 func newBench() *cli.Command {
 	return &cli.Command{
 		Name:  "bench",
-		Usage: "measure this program with stand-ins on loopback",
+		Usage: "run benchmarks against stand-ins on the loopback interface",
 		Commands: []*cli.Command{
 			newBenchPath(),
 			newBenchLookup(),
@@ -33,7 +33,7 @@
 func newBenchCapacity() *cli.Command {
 	return &cli.Command{
 		Name:  "capacity",
-		Usage: "measure how the cost of each role grows, and work it out at the size to design for",
+		Usage: "measure how the cost of each role grows, and extrapolate it to the design size",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: flagRole, Usage: "measure only this `ROLE` (may be repeated)"},
 			jsonFlag(),
--- a/internal/command/bench_config.go
+++ b/internal/command/bench_config.go
@@ -15,7 +15,7 @@
 )
 
 func newBenchConfig() *cli.Command {
-	return scenario("config", "changes of the document while the store fails, answers are lost and daemons restart",
+	return newScenarioCommand("config", "change the document while the store fails, responses are lost and daemons restart",
 		func(ctx context.Context, c *cli.Command) (scenarioResult, error) {
 			doc, err := exampleDocument(c)
 			if err != nil {
--- a/internal/command/bench_placement.go
+++ b/internal/command/bench_placement.go
@@ -14,13 +14,13 @@
 const allLoads = "all"
 
 func newBenchPlacement() *cli.Command {
-	return scenario("placement", "what callers get of emulated loads on a platform, by policy of placement",
+	return newScenarioCommand("placement", "compare placement policies under emulated loads on a platform",
 		func(_ context.Context, c *cli.Command) (scenarioResult, error) {
 			loads, err := placementLoads(c.String(flagLoad))
 			if err != nil {
 				return scenarioResult{}, err
 			}
-			policies, err := placementPolicies(c.StringSlice(flagPolicy))
+			policies, err := parsePlacementPolicies(c.StringSlice(flagPolicy))
 			if err != nil {
 				return scenarioResult{}, err
 			}
@@ -32,7 +32,7 @@
 			}
 			return scenarioResult{report: results}, nil
 		},
-		&cli.StringFlag{Name: flagLoad, Value: allLoads, Usage: placementLoadNames() + " or " + allLoads + " (without the grown ones)"},
+		&cli.StringFlag{Name: flagLoad, Value: allLoads, Usage: placementLoadNames() + " or " + allLoads + " (excludes grown and shifted loads)"},
 		&cli.StringSliceFlag{Name: flagPolicy, Value: []string{allPolicies}, Usage: placementPolicyNames() + " or " + allPolicies + " (may be repeated)"},
 		&cli.Uint64Flag{Name: flagSeed, Value: 1, Usage: "seed of arrivals and service times"})
 }
@@ -53,16 +53,16 @@
 	for _, l := range slices.Concat(emulation.Loads(), emulation.GrownLoads(), emulation.ShiftedLoads()) {
 		names = append(names, l.Name)
 	}
-	return joined(names)
+	return joinNames(names)
 }
 
-func placementPolicies(names []string) ([]placement.Policy, error) {
+func parsePlacementPolicies(names []string) ([]placement.Policy, error) {
 	var out []placement.Policy
 	for _, name := range names {
 		if name == allPolicies {
 			return placement.Policies(), nil
 		}
-		policy, err := placementPolicy(name)
+		policy, err := parsePlacementPolicy(name)
 		if err != nil {
 			return nil, err
 		}
@@ -71,8 +71,8 @@
 	return out, nil
 }
 
-// placementPolicy returns the policy of a name given on the command line.
-func placementPolicy(name string) (placement.Policy, error) {
+// parsePlacementPolicy returns the policy with a name given on the command line.
+func parsePlacementPolicy(name string) (placement.Policy, error) {
 	policy := placement.Policy(name)
 	if !policy.Valid() {
 		return "", usageError(trace.BadParameter("--%s %s: known are %s", flagPolicy, name, placementPolicyNames()))
@@ -80,4 +80,4 @@
 	return policy, nil
 }
 
-func placementPolicyNames() string { return joined(placement.Policies()) }
+func placementPolicyNames() string { return joinNames(placement.Policies()) }
--- a/internal/command/bench_report.go
+++ b/internal/command/bench_report.go
@@ -35,8 +35,8 @@
 	return &cli.Command{
 		Name:  "report",
 		Usage: "run the steering scenarios and write a page with plots",
-		Description: "Writes " + pageFile + ", the plots as SVG files and each run as a JSON file, which --beside takes later.\n" +
-			"Only what the policy broker breaks counts as broken. Several policies at once shorten the scenarios.",
+		Description: "Writes " + pageFile + ", the plots as SVG files and each run as a JSON file that --beside accepts.\n" +
+			"Only promises broken under the policy broker count. Scenarios are shorter with several policies.",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: flagDeployment, Value: []string{"estiba"}, Usage: "example `NAME`: estiba or lydspor (may be repeated)"},
 			&cli.StringSliceFlag{Name: flagScenario, Value: bench.SteeringScenarios(), Usage: scenarios + " (may be repeated)"},
@@ -44,8 +44,8 @@
 			&cli.Uint64Flag{Name: flagSeed, Value: 1, Usage: "seed of arrivals and service times"},
 			&cli.StringFlag{Name: flagName, Value: "run", Usage: "`NAME` of the runs in plots and tables"},
 			&cli.StringFlag{Name: flagOut, Value: "report", Usage: "`DIRECTORY` to write to"},
-			&cli.StringSliceFlag{Name: flagBeside, Usage: "JSON `FILE` of an older run to lay beside (may be repeated)"},
-			&cli.DurationFlag{Name: flagTimeout, Value: reportTimeout, Usage: "no scenario runs longer than until then"},
+			&cli.StringSliceFlag{Name: flagBeside, Usage: "JSON `FILE` of an earlier run to compare with (may be repeated)"},
+			&cli.DurationFlag{Name: flagTimeout, Value: reportTimeout, Usage: "time limit for all scenarios together"},
 		},
 		Action: runBenchReport,
 	}
@@ -53,12 +53,12 @@
 
 // reportRunner runs the scenarios of one report.
 type reportRunner struct {
-	cmd      *cli.Command
-	policies []steering.PolicyName
-	out      string
-	report   report.Report
-	beside   []*report.Run
-	broken   int
+	cmd         *cli.Command
+	policies    []steering.PolicyName
+	out         string
+	report      report.Report
+	earlierRuns []*report.Run
+	broken      int
 }
 
 func runBenchReport(ctx context.Context, c *cli.Command) error {
@@ -69,8 +69,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Duration(flagTimeout))
 	defer cancel()
-	for _, one := range plan {
-		if err := r.run(ctx, one); err != nil {
+	for _, planned := range plan {
+		if err := r.run(ctx, planned); err != nil {
 			return err
 		}
 	}
@@ -81,7 +81,7 @@
 		return err
 	}
 	if n := len(r.report.Skipped); n > 0 {
-		return trace.Errorf("bench report: %d of %d scenarios without a result, see %s", n, len(plan), r.path(pageFile))
+		return trace.Errorf("bench report: %d of %d scenarios have no result, see %s", n, len(plan), r.path(pageFile))
 	}
 	return nil
 }
@@ -92,14 +92,14 @@
 	scenario string
 }
 
-// prepare checks all arguments before anything runs.
+// prepare validates all arguments before any scenario runs, and makes the output directory.
 func (r *reportRunner) prepare() ([]plannedScenario, error) {
 	var err error
-	if r.policies, err = policiesOf(r.cmd.StringSlice(flagPolicy)); err != nil {
+	if r.policies, err = parsePolicies(r.cmd.StringSlice(flagPolicy)); err != nil {
 		return nil, err
 	}
 	for _, path := range r.cmd.StringSlice(flagBeside) {
-		if err := r.readBeside(path); err != nil {
+		if err := r.readEarlierRun(path); err != nil {
 			return nil, usageError(trace.Wrap(err, "--%s %s", flagBeside, path))
 		}
 	}
@@ -107,10 +107,10 @@
 	if err != nil {
 		return nil, usageError(err)
 	}
-	return plan, trace.Wrap(os.MkdirAll(r.out, 0o755), "making --%s", flagOut)
+	return plan, trace.Wrap(os.MkdirAll(r.out, 0o755), "make the directory of --%s", flagOut)
 }
 
-func (r *reportRunner) readBeside(path string) error {
+func (r *reportRunner) readEarlierRun(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	r.beside = append(r.beside, run)
+	r.earlierRuns = append(r.earlierRuns, run)
 	return nil
 }
 
@@ -145,23 +145,23 @@
 	return plan, nil
 }
 
-// run runs one scenario and writes its JSON file. A scenario that fails, or
-// that the time did not suffice for, is told on the page.
-func (r *reportRunner) run(ctx context.Context, one plannedScenario) error {
-	r.tell("%s on %s", one.scenario, one.document.Deployment)
+// run runs one scenario and writes its JSON file. A scenario that fails or
+// exceeds the time limit is listed as skipped on the page.
+func (r *reportRunner) run(ctx context.Context, planned plannedScenario) error {
+	r.printProgress("%s on %s", planned.scenario, planned.document.Deployment)
 	began := time.Now()
 	result, err := bench.Steering(ctx, bench.SteeringOptions{
-		Document: one.document,
+		Document: planned.document,
 		Start:    bench.StartDaemon,
-		Scenario: one.scenario,
+		Scenario: planned.scenario,
 		Policies: r.policies,
 		Seed:     r.cmd.Uint64(flagSeed),
 	})
-	if ctx.Err() != nil { // what was measured until then is of a part of the scenario
+	if ctx.Err() != nil { // the result covers only a part of the scenario
 		err = trace.LimitExceeded("not run to its end: %v (--%s %v)", ctx.Err(), flagTimeout, r.cmd.Duration(flagTimeout))
 	}
 	if err != nil {
-		r.skip(one, err)
+		r.skip(planned, err)
 		return nil
 	}
 	r.broken += result.BrokenPromises
@@ -171,37 +171,37 @@
 		Began:   began,
 		Version: version(),
 		Cores:   runtime.NumCPU(),
-		Command: r.commandOf(one),
+		Command: r.commandLine(planned),
 		Result:  result,
 	}
 	r.report.Runs = append(r.report.Runs, run)
 	return r.writeFile(run.FileName(), run.Write)
 }
 
-func (r *reportRunner) skip(one plannedScenario, err error) {
+func (r *reportRunner) skip(planned plannedScenario, err error) {
 	cause := trace.UserMessage(err)
-	r.tell("%s on %s: %s", one.scenario, one.document.Deployment, cause)
+	r.printProgress("%s on %s: %s", planned.scenario, planned.document.Deployment, cause)
 	r.report.Skipped = append(r.report.Skipped, report.Skipped{
-		Deployment: one.document.Deployment,
-		Scenario:   one.scenario,
+		Deployment: planned.document.Deployment,
+		Scenario:   planned.scenario,
 		Cause:      cause,
 	})
 }
 
-// commandOf returns the command that runs one scenario alone.
-func (r *reportRunner) commandOf(one plannedScenario) string {
+// commandLine returns the command that runs only this scenario.
+func (r *reportRunner) commandLine(planned plannedScenario) string {
 	text := fmt.Sprintf("masticturn bench report --%s %s --%s %s --%s %d",
-		flagDeployment, one.document.Deployment, flagScenario, one.scenario, flagSeed, r.cmd.Uint64(flagSeed))
+		flagDeployment, planned.document.Deployment, flagScenario, planned.scenario, flagSeed, r.cmd.Uint64(flagSeed))
 	for _, p := range r.policies {
 		text += fmt.Sprintf(" --%s %s", flagPolicy, p)
 	}
 	return text
 }
 
-// write writes the page and the plots.
+// write writes the page and the plots, and prints the path of the page.
 func (r *reportRunner) write() error {
 	r.report.Written = time.Now()
-	r.report.Runs = append(r.report.Runs, r.beside...)
+	r.report.Runs = append(r.report.Runs, r.earlierRuns...)
 	var page bytes.Buffer
 	plots, err := r.report.Write(&page)
 	if err != nil {
@@ -230,10 +230,10 @@
 }
 
 func (r *reportRunner) writeBytes(name string, text []byte) error {
-	return trace.Wrap(os.WriteFile(r.path(name), text, 0o644), "writing %s", name)
+	return trace.Wrap(os.WriteFile(r.path(name), text, 0o644), "write %s", name)
 }
 
-// tell writes a line of progress.
-func (r *reportRunner) tell(format string, args ...any) {
+// printProgress writes a progress message to stderr.
+func (r *reportRunner) printProgress(format string, args ...any) {
 	fmt.Fprintf(r.cmd.Root().ErrWriter, "bench report: "+format+"\n", args...)
 }
--- a/internal/command/bench_report_test.go
+++ b/internal/command/bench_report_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestBenchReportRefusesWrongArguments(t *testing.T) {
+func TestBenchReportRejectsInvalidArguments(t *testing.T) {
 	out := filepath.Join(t.TempDir(), "report")
 	for _, args := range [][]string{{"--scenario", "unknown"}, {"--deployment", "unknown"}, {"--policy", "unknown"}, {"--beside", out}} {
 		args = append([]string{"masticturn", "bench", "report", "--out", out}, args...)
@@ -17,11 +17,11 @@
 		}
 	}
 	if _, err := os.Stat(out); err == nil {
-		t.Error("wrong arguments left something behind")
+		t.Error("the output directory exists after invalid arguments")
 	}
 }
 
-func TestBenchReportTellsWhatDidNotRun(t *testing.T) {
+func TestBenchReportListsSkippedScenarios(t *testing.T) {
 	out := t.TempDir()
 	args := []string{"masticturn", "bench", "report", "--out", out, "--scenario", "steady", "--timeout", "1ns"}
 	if code := Run(t.Context(), args, io.Discard, io.Discard); code != ExitFailed {
--- a/internal/command/bench_scenarios.go
+++ b/internal/command/bench_scenarios.go
@@ -25,7 +25,7 @@
 	return &cli.StringFlag{Name: flagDeployment, Value: "estiba", Usage: "example `NAME`: estiba or lydspor"}
 }
 
-// exampleDocument returns the example that --deployment names.
+// exampleDocument returns the example document named by --deployment.
 func exampleDocument(c *cli.Command) (*config.Document, error) {
 	name := c.String(flagDeployment)
 	text, ok := examples.Document(name)
@@ -35,15 +35,15 @@
 	return config.Parse(text)
 }
 
-// scenarioResult is what every scenario reports besides its figures.
+// scenarioResult is the report of a scenario and its number of broken promises.
 type scenarioResult struct {
 	report any
 	broken int
 }
 
-// scenario makes a command that runs a scenario, prints its report, and exits
-// with ExitBroken when a promise was broken.
-func scenario(name, usage string, run func(ctx context.Context, c *cli.Command) (scenarioResult, error), flags ...cli.Flag) *cli.Command {
+// newScenarioCommand returns a command that runs a scenario, prints its report, and exits
+// with ExitBroken if a promise was broken.
+func newScenarioCommand(name, usage string, run func(ctx context.Context, c *cli.Command) (scenarioResult, error), flags ...cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name:  name,
 		Usage: usage,
@@ -69,7 +69,7 @@
 }
 
 func newBenchPath() *cli.Command {
-	return scenario("path", "added latency and throughput of one daemon",
+	return newScenarioCommand("path", "measure added latency and throughput of one daemon",
 		func(ctx context.Context, c *cli.Command) (scenarioResult, error) {
 			r, err := bench.Path(ctx, bench.PathOptions{Start: bench.StartDaemon, Duration: c.Duration(flagDuration)})
 			if err != nil {
@@ -77,11 +77,11 @@
 			}
 			return scenarioResult{r, r.BrokenPromises}, nil
 		},
-		&cli.DurationFlag{Name: flagDuration, Value: 5 * time.Second, Usage: "how long throughput is measured"})
+		&cli.DurationFlag{Name: flagDuration, Value: 5 * time.Second, Usage: "how long to measure throughput"})
 }
 
 func newBenchLookup() *cli.Command {
-	return scenario("lookup", "look-ups per second of one daemon",
+	return newScenarioCommand("lookup", "measure look-ups per second of one daemon",
 		func(ctx context.Context, c *cli.Command) (scenarioResult, error) {
 			r, err := bench.Lookup(ctx, bench.LookupOptions{Start: bench.StartDaemon, Duration: c.Duration(flagDuration)})
 			if err != nil {
@@ -89,11 +89,11 @@
 			}
 			return scenarioResult{r, r.BrokenPromises}, nil
 		},
-		&cli.DurationFlag{Name: flagDuration, Value: 3 * time.Second, Usage: "how long look-ups are sent"})
+		&cli.DurationFlag{Name: flagDuration, Value: 3 * time.Second, Usage: "how long to send look-ups"})
 }
 
 func newBenchFaults() *cli.Command {
-	return scenario("faults", "mixed load on 10 daemons while faults come by chance",
+	return newScenarioCommand("faults", "run mixed load on 10 daemons with random faults",
 		func(ctx context.Context, c *cli.Command) (scenarioResult, error) {
 			doc, err := exampleDocument(c)
 			if err != nil {
@@ -118,7 +118,7 @@
 }
 
 func newBenchDrains() *cli.Command {
-	return scenario("drains", "planned stops of VMs under slow uploads, and targets that leave by each sign alone",
+	return newScenarioCommand("drains", "stop VMs during slow uploads, and remove targets by each signal alone",
 		func(ctx context.Context, c *cli.Command) (scenarioResult, error) {
 			doc, err := exampleDocument(c)
 			if err != nil {
@@ -141,7 +141,7 @@
 }
 
 func newBenchRetries() *cli.Command {
-	return scenario("retries", "attempts per request while half of the targets fail",
+	return newScenarioCommand("retries", "count attempts per request while half of the targets fail",
 		func(ctx context.Context, c *cli.Command) (scenarioResult, error) {
 			doc, err := exampleDocument(c)
 			if err != nil {
@@ -158,7 +158,7 @@
 }
 
 func newBenchUploads() *cli.Command {
-	return scenario("uploads", "memory of one daemon with many large uploads at once",
+	return newScenarioCommand("uploads", "measure memory of one daemon during many concurrent large uploads",
 		func(ctx context.Context, c *cli.Command) (scenarioResult, error) {
 			r, err := bench.Uploads(ctx, bench.UploadsOptions{Start: bench.StartDaemon})
 			if err != nil {
--- a/internal/command/bench_steering.go
+++ b/internal/command/bench_steering.go
@@ -19,13 +19,13 @@
 )
 
 func newBenchSteering() *cli.Command {
-	return scenario("steering", "caps, headroom and latency under load and faults, by policy",
+	return newScenarioCommand("steering", "compare caps, headroom and latency under load and faults, by policy",
 		func(ctx context.Context, c *cli.Command) (scenarioResult, error) {
 			doc, err := exampleDocument(c)
 			if err != nil {
 				return scenarioResult{}, err
 			}
-			policies, err := policiesOf(c.StringSlice(flagPolicy))
+			policies, err := parsePolicies(c.StringSlice(flagPolicy))
 			if err != nil {
 				return scenarioResult{}, err
 			}
@@ -45,14 +45,14 @@
 		deploymentFlag(),
 		&cli.StringFlag{Name: flagScenario, Value: "steady", Usage: strings.Join(bench.SteeringScenarios(), ", ")},
 		&cli.StringSliceFlag{Name: flagPolicy, Value: []string{string(steering.PolicyBroker)}, Usage: policyNames() + " or " + allPolicies + " (may be repeated)"},
-		&cli.Float64Flag{Name: flagLoad, Usage: "offered load as a part of the targets' capacity; 0: the scenario's own"},
+		&cli.Float64Flag{Name: flagLoad, Usage: "offered load as a fraction of the targets' capacity (0: the scenario's default)"},
 		&cli.Uint64Flag{Name: flagSeed, Value: 1, Usage: "seed of arrivals and service times"})
 }
 
-func policyNames() string { return joined(steering.Policies()) }
+func policyNames() string { return joinNames(steering.Policies()) }
 
-// joined lists names for usages and errors.
-func joined[T ~string](names []T) string {
+// joinNames joins names with commas for usage texts and errors.
+func joinNames[T ~string](names []T) string {
 	var out []string
 	for _, n := range names {
 		out = append(out, string(n))
@@ -60,7 +60,7 @@
 	return strings.Join(out, ", ")
 }
 
-func policiesOf(names []string) ([]steering.PolicyName, error) {
+func parsePolicies(names []string) ([]steering.PolicyName, error) {
 	var out []steering.PolicyName
 	for _, name := range names {
 		if name == allPolicies {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line: one file for each command.
+// Package command implements the command-line interface, with one file per command.
 package command
 
 import (
@@ -15,10 +15,10 @@
 
 // Exit codes of the program.
 const (
-	ExitOK     = 0 // done
-	ExitFailed = 1 // the command failed; the message says at which step
-	ExitUsage  = 2 // wrong arguments, settings or document
-	ExitBroken = 3 // a bench or the demo saw a broken promise
+	ExitOK     = 0 // success
+	ExitFailed = 1 // the command failed; the message names the failed step
+	ExitUsage  = 2 // invalid arguments, settings or document
+	ExitBroken = 3 // a benchmark or the demo found a broken promise
 )
 
 // exitError carries the exit code of a failed command.
@@ -33,10 +33,10 @@
 func usageError(err error) error  { return &exitError{code: ExitUsage, err: err} }
 func brokenError(err error) error { return &exitError{code: ExitBroken, err: err} }
 
-// Run runs the command line and returns the exit code. Errors go to stderr as
-// one line, without a stack trace.
+// Run executes the command line and returns the exit code. It writes errors to
+// stderr, without a stack trace.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
-	log.SetOutput(io.Discard) // net/http writes there what peers did wrong; our own log tells it by number
+	log.SetOutput(io.Discard) // net/http logs protocol errors of its peers there; the daemon's own log has them as numbered events
 	err := newRoot(stdout, stderr).Run(ctx, args)
 	if err == nil {
 		return ExitOK
@@ -46,7 +46,7 @@
 	if errors.As(err, &exit) {
 		return exit.code
 	}
-	var unknownCommand cli.ExitCoder // our own actions return none
+	var unknownCommand cli.ExitCoder // only the library returns it, not the actions of this package
 	if errors.As(err, &unknownCommand) || trace.IsBadParameter(err) {
 		return ExitUsage
 	}
@@ -57,7 +57,7 @@
 	root := &cli.Command{
 		Name:                  "masticturn",
 		Usage:                 "global traffic steering",
-		Description:           "Exit codes: 0 done, 1 failed, 2 wrong arguments, settings or document, 3 a bench or the demo saw a broken promise.",
+		Description:           "Exit codes: 0 success, 1 failure, 2 invalid arguments, settings or document, 3 a benchmark or the demo found a broken promise.",
 		Version:               version(),
 		EnableShellCompletion: true,
 		Writer:                stdout,
@@ -83,8 +83,8 @@
 	return root
 }
 
-// setUsageErrors gives a command and all below it the exit code for wrong
-// arguments.
+// setUsageErrors makes a command and all its subcommands exit with ExitUsage
+// on invalid arguments.
 func setUsageErrors(c *cli.Command) {
 	c.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 		return usageError(err)
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -42,10 +42,10 @@
 func newConfigGet() *cli.Command {
 	return &cli.Command{
 		Name:  "get",
-		Usage: "print the document in force, or one of the history",
+		Usage: "print the document in force, or an earlier one",
 		Flags: operatorFlags(
-			&cli.BoolFlag{Name: flagEffective, Usage: "with all defaults filled in"},
-			&cli.Uint64Flag{Name: flagGeneration, Usage: "this `GENERATION` of the history"},
+			&cli.BoolFlag{Name: flagEffective, Usage: "fill in all defaults"},
+			&cli.Uint64Flag{Name: flagGeneration, Usage: "print this `GENERATION` instead"},
 		),
 		Action: operatorAction(func(ctx context.Context, c *cli.Command, op *client.Client) error {
 			answer, err := op.Get(ctx, c.Uint64(flagGeneration), c.Bool(flagEffective))
@@ -64,7 +64,7 @@
 func newConfigValidate() *cli.Command {
 	return &cli.Command{
 		Name:      "validate",
-		Usage:     "check a document without a daemon; prints every fault",
+		Usage:     "check a document without a daemon and print every fault",
 		ArgsUsage: "FILE",
 		Action: func(_ context.Context, c *cli.Command) error {
 			raw, err := readDocument(c)
@@ -84,7 +84,7 @@
 	}
 }
 
-// printWarnings prints what is allowed in a document, but probably not meant.
+// printWarnings prints the parts of a document that are valid but probably unintended.
 func printWarnings(w io.Writer, doc *config.Document) error {
 	warnings, err := config.Advise(doc)
 	for _, f := range warnings {
@@ -121,7 +121,7 @@
 			}
 			diff, err := op.Diff(ctx, raw)
 			if err != nil {
-				return explain(c.Root().ErrWriter, err)
+				return printOperatorError(c.Root().ErrWriter, err)
 			}
 			if c.Bool(flagJSON) {
 				return printJSON(c.Root().Writer, diff)
@@ -137,13 +137,13 @@
 		Name:      "apply",
 		Usage:     "put a document in force",
 		ArgsUsage: "FILE",
-		Description: "The document replaces the generation given by --base; if another was accepted meanwhile it is refused with both differences. " +
-			"After an unknown outcome the same command may be given again: it never applies twice.",
+		Description: "The document replaces the generation given by --base; if another one was accepted in the meantime, the change is refused and both diffs are printed. " +
+			"If the outcome is unknown, run the same command again: a change is never applied twice.",
 		Flags: operatorFlags(
-			&cli.Uint64Flag{Name: flagBase, Usage: "`GENERATION` the change started from (default: the one in force)"},
+			&cli.Uint64Flag{Name: flagBase, Usage: "`GENERATION` the change is based on (default: the one in force)"},
 			&cli.StringFlag{Name: flagAuthor, Usage: "`NAME` for the history", Value: os.Getenv("USER")},
 			&cli.StringFlag{Name: flagComment, Usage: "`TEXT` for the history"},
-			&cli.BoolFlag{Name: flagWait, Usage: "wait until it is in force at all daemons"},
+			&cli.BoolFlag{Name: flagWait, Usage: "wait until the document is in force at all daemons"},
 		),
 		Action: operatorAction(applyConfig),
 	}
@@ -164,7 +164,7 @@
 		Document: raw, Base: base, Author: c.String(flagAuthor), Comment: c.String(flagComment),
 	})
 	if err != nil {
-		return explain(c.Root().ErrWriter, err)
+		return printOperatorError(c.Root().ErrWriter, err)
 	}
 	if !c.Bool(flagWait) {
 		return printApplied(c, applied, nil)
@@ -174,14 +174,14 @@
 	})
 	if err != nil {
 		for _, d := range inForce.Stragglers {
-			fmt.Fprintf(c.Root().ErrWriter, "not yet: %s in %s (%s), generation %d\n", d.Name, d.Zone, d.State, d.Generation)
+			fmt.Fprintf(c.Root().ErrWriter, "not in force yet: %s in %s (%s), generation %d\n", d.Name, d.Zone, d.State, d.Generation)
 		}
 		return err
 	}
 	return printApplied(c, applied, inForce)
 }
 
-// generationInForce returns the generation in force, 0 when there is none yet.
+// generationInForce returns the generation in force, or 0 if there is none yet.
 func generationInForce(ctx context.Context, op *client.Client) (uint64, error) {
 	answer, err := op.Get(ctx, 0, false)
 	var failure *edge.OperatorError
@@ -191,7 +191,7 @@
 	return answer.Generation, err
 }
 
-// appliedReport is the output of config apply with --json.
+// appliedReport is the JSON output of config apply.
 type appliedReport struct {
 	*edge.ConfigApplied
 	InForce *edge.ConfigInForce `json:"in_force,omitempty"`
@@ -240,7 +240,7 @@
 // for "-".
 func readDocument(c *cli.Command) ([]byte, error) {
 	if c.Args().Len() != 1 {
-		return nil, usageError(trace.BadParameter("one FILE is required; - is standard input"))
+		return nil, usageError(trace.BadParameter("exactly one FILE is required (- for standard input)"))
 	}
 	name := c.Args().First()
 	if name == "-" {
@@ -263,9 +263,9 @@
 	}
 }
 
-// explain prints the faults or the conflict that an error carries and returns
-// the error with its exit code.
-func explain(w io.Writer, err error) error {
+// printOperatorError prints the faults or the conflict of an error and returns the error
+// with its exit code.
+func printOperatorError(w io.Writer, err error) error {
 	var failure *edge.OperatorError
 	if !errors.As(err, &failure) {
 		return err
@@ -274,7 +274,7 @@
 		fmt.Fprintf(w, "%s: got %s; allowed is %s\n", f.Path, f.Value, f.Allowed)
 	}
 	if conflict := failure.Conflict; conflict != nil {
-		fmt.Fprintf(w, "accepted meanwhile (generation %d by %s):\n", conflict.Current.Generation, conflict.Current.Author)
+		fmt.Fprintf(w, "accepted in the meantime (generation %d by %s):\n", conflict.Current.Generation, conflict.Current.Author)
 		printChanges(w, conflict.Theirs)
 		fmt.Fprintln(w, "your change:")
 		printChanges(w, conflict.Yours)
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -28,12 +28,12 @@
 func newDemo() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run a whole deployment with stand-ins and load in this process",
+		Usage: "run a complete deployment with stand-ins and load in this process",
 		Flags: []cli.Flag{
 			deploymentFlag(),
 			&cli.DurationFlag{Name: flagDuration, Value: 10 * time.Second, Usage: "how long callers send requests"},
 			&cli.FloatFlag{Name: flagRate, Value: 600, Usage: "requests per second"},
-			&cli.BoolFlag{Name: flagHold, Usage: "stay up afterwards, to be explored, until a signal"},
+			&cli.BoolFlag{Name: flagHold, Usage: "keep the deployment running afterwards until a signal arrives"},
 			jsonFlag(),
 		},
 		Action: runDemo,
@@ -73,7 +73,7 @@
 	return checkPromises(report.BrokenPromises)
 }
 
-// writeToken makes an operators' token for this run.
+// writeToken writes a random operators' token for this run to a temporary file.
 func writeToken() (token, file string, err error) {
 	f, err := os.CreateTemp("", "masticturn-token-")
 	if err != nil {
@@ -87,8 +87,8 @@
 	return token, f.Name(), nil
 }
 
-// isTerminal reports whether w is a terminal, on which a line of progress can
-// be written over.
+// isTerminal reports whether w is a terminal, on which a progress line can be
+// overwritten.
 func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok {
@@ -107,7 +107,7 @@
 		max(p.Left, 0).Seconds(), p.Load.Requests, p.Load.Answered, p.Load.NotRun, p.Load.Unknown, p.Load.P99MS, strings.Join(headroom, ", "))
 }
 
-// hold prints where things are and waits for a signal.
+// hold prints the addresses of the console and the VMs and waits for a signal.
 func hold(ctx context.Context, w io.Writer, c *cluster.Cluster, token string) {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -116,7 +116,7 @@
 		fmt.Fprintf(w, "%s  callers http://%s  operators http://%s  zone %s\n",
 			vm.Settings.VM.Name, vm.Settings.Listen.Callers, vm.Settings.Listen.Operators, vm.Settings.VM.Zone)
 	}
-	fmt.Fprintln(w, "up until a signal (Ctrl-C)")
+	fmt.Fprintln(w, "running until a signal arrives (Ctrl-C)")
 	<-ctx.Done()
 }
 
@@ -142,7 +142,7 @@
 		return trace.Wrap(err)
 	}
 	for _, reason := range r.Reasons {
-		fmt.Fprintf(w, "%d %s tries were told %s at step %s: %s\n", reason.Count, reason.Class, reason.Told, reason.Step, reason.Detail)
+		fmt.Fprintf(w, "%d %s tries were answered %s at step %s: %s\n", reason.Count, reason.Class, reason.Told, reason.Step, reason.Detail)
 	}
 	fmt.Fprintf(w, "\nbroken promises: %d\n", r.BrokenPromises)
 	return nil
--- a/internal/command/events.go
+++ b/internal/command/events.go
@@ -12,7 +12,7 @@
 func newEvents() *cli.Command {
 	return &cli.Command{
 		Name:  "events",
-		Usage: "print the catalogue of the log's numbered events",
+		Usage: "print the catalogue of numbered log events",
 		Flags: []cli.Flag{jsonFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Bool(flagJSON) {
--- a/internal/command/lookup.go
+++ b/internal/command/lookup.go
@@ -28,14 +28,14 @@
 func newLookup() *cli.Command {
 	return &cli.Command{
 		Name:  "lookup",
-		Usage: "ask a VM which VMs a caller shall use",
+		Usage: "ask a VM which VMs a caller should use",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagVM, Usage: "`URL` of the caller listener of any VM", Required: true},
 			&cli.StringFlag{Name: flagAddress, Usage: "ask on behalf of this IP `ADDRESS`"},
 			jsonFlag(),
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			answer, err := askLookup(ctx, c.String(flagVM), c.String(flagAddress))
+			answer, err := requestLookup(ctx, c.String(flagVM), c.String(flagAddress))
 			if err != nil {
 				return err
 			}
@@ -47,7 +47,7 @@
 	}
 }
 
-func askLookup(ctx context.Context, vm, address string) (*edge.LookupResponse, error) {
+func requestLookup(ctx context.Context, vm, address string) (*edge.LookupResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	client := sling.New().Base(vm).Get(edge.PathLookup).QueryStruct(lookupQuery{Address: address})
@@ -72,6 +72,6 @@
 	for _, vm := range answer.VMs {
 		fmt.Fprintf(tab, "%s\t%s\t%s\n", vm.Name, vm.Zone, vm.Address)
 	}
-	fmt.Fprintf(tab, "\nmay be cached for %gs; made from generation %d\n", answer.MaxAgeSeconds, answer.Generation)
+	fmt.Fprintf(tab, "\nmay be cached for %gs; based on generation %d\n", answer.MaxAgeSeconds, answer.Generation)
 	return trace.Wrap(tab.Flush())
 }
--- a/internal/command/losses.go
+++ b/internal/command/losses.go
@@ -22,25 +22,25 @@
 	flagExamples = "examples"
 )
 
-// Usual ways there and back: 3 ms each way to callers, 35 ms between regions.
+// Typical round trips: 3 ms each way to callers, 35 ms each way between regions.
 const (
-	defaultWay  = 6 * time.Millisecond
-	defaultTrip = 70 * time.Millisecond
+	defaultCallerRTT = 6 * time.Millisecond
+	defaultRegionRTT = 70 * time.Millisecond
 )
 
 func newLosses() *cli.Command {
 	return &cli.Command{
 		Name:      "losses",
-		Usage:     "tell from the logs of VMs where callers lost, and to what",
+		Usage:     "attribute callers' losses to causes, using the logs of VMs",
 		ArgsUsage: "[FILE...]",
 		Description: "Reads JSON log lines from the files, or from standard input, and attributes each late or failed request to one " +
-			"cause. With the users' report of the same day it says how much of what callers lost the logs explain, and lists the prices.",
+			"cause. With the users' report of the same day it also prints how much of the callers' losses the logs explain, and the prices.",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: flagWorth, Usage: "`NAME=WORTH/LATE`: what requests of a class of the logs, or of a kind of the report, are worth in time and late; 1 and 0.2 where nothing is said"},
-			&cli.DurationFlag{Name: flagWay, Usage: "time between a caller and its VM, there and back", Value: defaultWay},
-			&cli.DurationFlag{Name: flagTrip, Usage: "time between two regions, there and back", Value: defaultTrip},
+			&cli.StringSliceFlag{Name: flagWorth, Usage: "`NAME=WORTH/LATE`: worth of requests of a class in the logs, or of a kind in the report, when answered in time and late (default: 1 and 0.2)"},
+			&cli.DurationFlag{Name: flagWay, Usage: "round trip between a caller and its VM", Value: defaultCallerRTT},
+			&cli.DurationFlag{Name: flagTrip, Usage: "round trip between two regions", Value: defaultRegionRTT},
 			&cli.StringFlag{Name: flagReport, Usage: "`FILE` with the users' report of the day"},
-			&cli.IntFlag{Name: flagExamples, Usage: "how many requests to name for each cause", Value: 3},
+			&cli.IntFlag{Name: flagExamples, Usage: "number of example requests to print for each cause", Value: 3},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			o := losses.Options{Worth: make(map[string]losses.Worth), Way: c.Duration(flagWay), Trip: c.Duration(flagTrip)}
@@ -67,8 +67,8 @@
 	}
 }
 
-// compareReport writes how much of what callers lost by the users' report the
-// logs explain, and what was paid for.
+// compareReport prints how much of the loss in the users' report the logs explain,
+// and the prices.
 func compareReport(w io.Writer, name string, table *losses.Table, worth map[string]losses.Worth) error {
 	raw, err := os.ReadFile(name)
 	if err != nil {
@@ -79,23 +79,24 @@
 		return trace.Wrap(err, "report %s", name)
 	}
 	lost, owed := report.Lost(worth)
-	fmt.Fprintf(w, "\ncallers: %.0f worth owed, %.0f lost (%.4f); explained by the logs %.0f (%.4f); not in the logs %.0f (%.4f)\n",
+	fmt.Fprintf(w, "\ncallers: total worth %.0f, lost %.0f (%.4f); explained by the logs %.0f (%.4f); not in the logs %.0f (%.4f)\n",
 		owed, lost, lost/owed, table.Lost(), table.Lost()/owed, lost-table.Lost(), (lost-table.Lost())/owed)
 	for _, u := range report.UnexplainedLosses(table, owed) {
-		if u.Worth >= unexplainedLeast*owed {
-			fmt.Fprintf(w, "  asked from second %s on: about %.0f not in the logs; %d of %d failed, %d were refused\n", u.Name, u.Worth, u.Failed, u.Requests, u.Refused)
+		if u.Worth >= minUnexplainedFraction*owed {
+			fmt.Fprintf(w, "  window from second %s: about %.0f not in the logs; %d of %d requests failed, %d were refused\n", u.Name, u.Worth, u.Failed, u.Requests, u.Refused)
 		}
 	}
 	for _, p := range report.Prices {
-		if p.Worth >= pricesLeast {
+		if p.Worth >= minPriceFraction {
 			fmt.Fprintf(w, "  price %.4f  %s\n", p.Worth, p.Name)
 		}
 	}
 	return nil
 }
 
-// unexplainedLeast is the least part of all worth that is listed of a window.
-const unexplainedLeast = 0.001
+// minUnexplainedFraction is the smallest unexplained loss of a window that is listed, as a fraction of the
+// total worth.
+const minUnexplainedFraction = 0.001
 
-// pricesLeast is the least price that is listed, as a part of the day's worth.
-const pricesLeast = 0.0005
+// minPriceFraction is the smallest price that is listed, as a fraction of the day's worth.
+const minPriceFraction = 0.0005
--- a/internal/command/operator.go
+++ b/internal/command/operator.go
@@ -27,7 +27,7 @@
 	operatorTimeout = 30 * time.Second
 )
 
-// operatorFlags are the flags of all commands that call a daemon's operators'
+// operatorFlags returns the flags of a command that calls a daemon's operators'
 // listener.
 func operatorFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
@@ -38,7 +38,7 @@
 	}, more...)
 }
 
-// operatorAction makes the action of such a command.
+// operatorAction returns the action of a command with operatorFlags.
 func operatorAction(run func(ctx context.Context, c *cli.Command, op *client.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		var token string
@@ -58,7 +58,7 @@
 func newStatus() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show what a daemon knows: members, generations, headroom, drains, store, ages",
+		Usage: "show a daemon's view of members, generations, headroom, drains, store and ages",
 		Flags: operatorFlags(),
 		Action: operatorAction(func(ctx context.Context, c *cli.Command, op *client.Client) error {
 			status, err := op.Status(ctx)
@@ -79,7 +79,7 @@
 		ready = "not ready: " + s.NotReady
 	}
 	fmt.Fprintf(w, "%s in %s (%s): %s, generation %d, %d requests in flight\n", s.VM, s.Zone, s.Region, ready, s.Generation, s.InFlight)
-	fmt.Fprintf(w, "store: last success %s, last failure %s %s\n", ago(s.At, s.Store.LastSuccess), ago(s.At, s.Store.LastFailure), s.Store.LastError)
+	fmt.Fprintf(w, "store: last success %s, last failure %s %s\n", formatAge(s.At, s.Store.LastSuccess), formatAge(s.At, s.Store.LastFailure), s.Store.LastError)
 	fmt.Fprintf(w, "targets: oldest measurement %d ms (%s), %d unmeasured, leaving %v, down %v\n\n",
 		s.Ages.OldestTargetMS, s.Ages.OldestTarget, s.Ages.Unmeasured, s.Leaving, s.Down)
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -94,7 +94,7 @@
 	return trace.Wrap(tab.Flush())
 }
 
-func ago(now, at time.Time) string {
+func formatAge(now, at time.Time) string {
 	if at.IsZero() {
 		return "never"
 	}
@@ -105,15 +105,15 @@
 	return &cli.Command{
 		Name:        "drain",
 		Usage:       "drain the VM that answers at --operator",
-		Description: "Look-ups stop naming the VM, requests in flight end, then its process exits 0. The command returns at once; with --wait when the listener is gone.",
-		Flags:       operatorFlags(&cli.BoolFlag{Name: flagWait, Usage: "wait until the process has ended"}),
+		Description: "Look-ups stop naming the VM, requests in flight end, then its process exits 0. The command returns immediately; with --wait it returns when the listener is closed.",
+		Flags:       operatorFlags(&cli.BoolFlag{Name: flagWait, Usage: "wait until the VM no longer answers"}),
 		Action: operatorAction(func(ctx context.Context, c *cli.Command, op *client.Client) error {
 			answer, err := op.Drain(ctx)
 			if err != nil {
 				return err
 			}
 			if c.Bool(flagWait) {
-				if err := waitGone(ctx, op); err != nil {
+				if err := waitUntilStopped(ctx, op); err != nil {
 					return err
 				}
 			}
@@ -127,20 +127,20 @@
 }
 
 const (
-	flagWait     = "wait"
-	goneInterval = 200 * time.Millisecond
+	flagWait         = "wait"
+	stopPollInterval = 200 * time.Millisecond
 )
 
-// waitGone returns when the daemon no longer answers.
-func waitGone(ctx context.Context, op *client.Client) error {
+// waitUntilStopped polls the daemon until it refuses connections.
+func waitUntilStopped(ctx context.Context, op *client.Client) error {
 	for {
 		if _, err := op.Status(ctx); trace.IsConnectionProblem(err) && ctx.Err() == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return trace.LimitExceeded("the VM still answers")
-		case <-time.After(goneInterval):
+			return trace.LimitExceeded("stopped waiting: the VM still answers")
+		case <-time.After(stopPollInterval):
 		}
 	}
 }
--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -22,23 +22,23 @@
 func newQuarantine() *cli.Command {
 	flags := []cli.Flag{
 		&cli.StringFlag{Name: flagSettings, Usage: "settings `FILE` of any VM, which names the store"},
-		&cli.BoolFlag{Name: flagPlatform, Usage: "take the settings file that " + adapter.EnvSettings + " names"},
+		&cli.BoolFlag{Name: flagPlatform, Usage: "use the settings file that the environment variable " + adapter.EnvSettings + " names"},
 		&cli.StringFlag{Name: flagPolicy, Value: string(placement.PolicyCompletion), Hidden: true},
 		&cli.DurationFlag{Name: flagTimeout, Value: operatorTimeout, Usage: "give up after this time"},
 		jsonFlag(),
 	}
 	return &cli.Command{
 		Name:  "quarantine",
-		Usage: "requests that are refused since targets have crashed under them",
+		Usage: "list or lift requests that are refused because targets crashed while running them",
 		Commands: []*cli.Command{
 			{
-				Name: "list", Usage: "list them", Flags: flags,
+				Name: "list", Usage: "list the requests in quarantine", Flags: flags,
 				Action: storeAction(func(ctx context.Context, c *cli.Command, s platform.Store) error {
 					return listQuarantine(ctx, c, s)
 				}),
 			},
 			{
-				Name: "lift", Usage: "let one run again", ArgsUsage: "DIGEST", Flags: flags,
+				Name: "lift", Usage: "allow a request to run again", ArgsUsage: "DIGEST", Flags: flags,
 				Action: storeAction(func(ctx context.Context, c *cli.Command, s platform.Store) error {
 					return liftQuarantine(ctx, c.Root().Writer, c.Args().First(), s)
 				}),
@@ -47,7 +47,7 @@
 	}
 }
 
-// storeAction makes the action of a command that calls the store.
+// storeAction returns the action of a command that calls the store.
 func storeAction(run func(ctx context.Context, c *cli.Command, s platform.Store) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		settings, _, err := loadSettings(c)
@@ -68,8 +68,8 @@
 	}
 }
 
-// quarantined is a request in quarantine, as it is printed.
-type quarantined struct {
+// quarantineEntry is the output form of a request in quarantine.
+type quarantineEntry struct {
 	Digest string `json:"digest"`
 	quarantine.StoredRecord
 }
@@ -79,9 +79,9 @@
 	if err != nil {
 		return trace.Wrap(err, "list the quarantine")
 	}
-	all := make([]quarantined, 0, len(objects))
+	all := make([]quarantineEntry, 0, len(objects))
 	for _, o := range objects {
-		q := quarantined{Digest: o.Name}
+		q := quarantineEntry{Digest: o.Name}
 		if err := json.Unmarshal(o.Value, &q.StoredRecord); err != nil {
 			return trace.Wrap(err, "object %s", o.Name)
 		}
@@ -93,7 +93,7 @@
 	return printQuarantine(c.Root().Writer, all)
 }
 
-func printQuarantine(w io.Writer, all []quarantined) error {
+func printQuarantine(w io.Writer, all []quarantineEntry) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "DIGEST\tCRASHES\tSINCE\tWRITTEN BY")
 	for _, q := range all {
@@ -114,6 +114,6 @@
 	if err := s.Delete(ctx, platform.KindQuarantine, d.String(), o.Version); err != nil {
 		return trace.Wrap(err, "request %s", d)
 	}
-	_, err = fmt.Fprintf(w, "%s is lifted; VMs see it when the request comes again\n", d)
+	_, err = fmt.Fprintf(w, "%s is lifted; VMs learn of it when the request is sent again\n", d)
 	return trace.Wrap(err)
 }
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -25,9 +25,9 @@
 	flagLogLines = "log-lines"
 )
 
-// gcPercent is how much the heap may grow, as a percentage of what is in use,
-// before garbage is collected: memory at its peak is dearer than the little
-// processor time that collecting it more often takes.
+// gcPercent is the heap growth, in percent of the live heap, that triggers a
+// garbage collection. It is below Go's default of 100 because peak memory costs
+// more than the processor time of more frequent collections.
 const gcPercent = 30
 
 func newServe() *cli.Command {
@@ -35,12 +35,12 @@
 		Name:  "serve",
 		Usage: "run the daemon of this VM",
 		Description: "SIGTERM or SIGINT drains: look-ups stop naming this VM, requests in flight end, then it exits 0. " +
-			"A second signal ends at once.",
+			"A second signal ends the drain immediately.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagSettings, Usage: "settings `FILE` (JSON with comments)"},
-			&cli.BoolFlag{Name: flagPlatform, Usage: "run on the users' platform, with the settings file that " + adapter.EnvSettings + " names"},
-			&cli.StringFlag{Name: flagPolicy, Value: string(placement.PolicyCompletion), Usage: "on the platform, how targets are chosen: " + placementPolicyNames()},
-			&cli.IntFlag{Name: flagLogLines, Value: telemetry.LinesPerSecond, Usage: "most log lines a second, for requests that went well and for all else each; masticturn losses needs them all"},
+			&cli.BoolFlag{Name: flagPlatform, Usage: "run on the users' platform, with the settings file that the environment variable " + adapter.EnvSettings + " names"},
+			&cli.StringFlag{Name: flagPolicy, Value: string(placement.PolicyCompletion), Usage: "policy that chooses targets on the platform: " + placementPolicyNames()},
+			&cli.IntFlag{Name: flagLogLines, Value: telemetry.LinesPerSecond, Usage: "maximum log lines per second, separately for successful requests and for all other events; masticturn losses needs complete logs"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			s, hosted, err := loadSettings(c)
@@ -68,11 +68,11 @@
 	}
 }
 
-// loadSettings reads the settings, and what a daemon on the platform needs
-// besides.
+// loadSettings reads the settings. On the platform it also returns the options
+// of a hosted daemon.
 func loadSettings(c *cli.Command) (*settings.Settings, *daemon.Hosted, error) {
 	if c.Bool(flagPlatform) {
-		policy, err := placementPolicy(c.String(flagPolicy))
+		policy, err := parsePlacementPolicy(c.String(flagPolicy))
 		if err != nil {
 			return nil, nil, err
 		}
@@ -88,19 +88,19 @@
 	return s, nil, err
 }
 
-// stopMargin is left of the time to stop when the rest is cut, for the process
-// to end by itself.
+// stopMargin is the part of the stop grace period that a drain leaves for the
+// process to exit before it is killed.
 const stopMargin = 300 * time.Millisecond
 
-// serve runs a daemon until a signal. SIGTERM or an interrupt drains, a second
-// one ends the drain; SIGHUP reads the settings once more.
+// serve runs a daemon until it is told to stop. SIGTERM, an interrupt or an operator's
+// request starts a drain, and a second signal ends it; SIGHUP reloads the settings.
 func serve(ctx context.Context, s *settings.Settings, reload func() (*settings.Settings, error), opts daemon.Options) error {
-	stops := make(chan os.Signal, 2)
-	signal.Notify(stops, syscall.SIGTERM, os.Interrupt)
-	defer signal.Stop(stops)
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	stopSignals := make(chan os.Signal, 2)
+	signal.Notify(stopSignals, syscall.SIGTERM, os.Interrupt)
+	defer signal.Stop(stopSignals)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	defer signal.Stop(reloadSignals)
 
 	d, err := daemon.New(s, opts)
 	if err != nil {
@@ -112,9 +112,9 @@
 	}
 	for stopped := false; !stopped; {
 		select {
-		case <-hangups:
+		case <-reloadSignals:
 			d.HandleReload(reload())
-		case <-stops:
+		case <-stopSignals:
 			stopped = true
 		case <-d.DrainRequested():
 			stopped = true
@@ -126,7 +126,7 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-stops:
+		case <-stopSignals:
 			cancel()
 		case <-drainCtx.Done():
 		}
@@ -135,8 +135,8 @@
 	return trace.NewAggregate(err, d.Stop(context.WithoutCancel(ctx)))
 }
 
-// drainContext bounds a drain by the time after which the process is killed; 0
-// means that it is not.
+// drainContext returns a context that ends a drain stopMargin before the process is
+// killed. A grace of 0 means that the process is not killed.
 func drainContext(ctx context.Context, grace time.Duration) (context.Context, context.CancelFunc) {
 	ctx = context.WithoutCancel(ctx)
 	if grace == 0 {
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -28,7 +28,7 @@
 func newStandin() *cli.Command {
 	return &cli.Command{
 		Name:  "standin",
-		Usage: "run small stand-ins for what is outside, to try daemons by hand",
+		Usage: "run stand-ins for external systems, to try out daemons by hand",
 		Commands: []*cli.Command{
 			newStandinPlatform(),
 			newStandinTargets(),
@@ -40,7 +40,7 @@
 	return &cli.StringFlag{Name: flagDocument, Usage: "document `FILE`", Required: true}
 }
 
-// loadDocument reads and checks the document that --document names.
+// loadDocument reads and validates the document named by --document.
 func loadDocument(c *cli.Command) (*config.Document, error) {
 	raw, err := os.ReadFile(c.String(flagDocument))
 	if err != nil {
@@ -59,7 +59,7 @@
 func newStandinPlatform() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
-		Usage: "the platform's object API, in memory, holding a document as generation 1",
+		Usage: "serve the platform's object API from memory, with a document as generation 1",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagListen, Usage: "`HOST:PORT`", Value: "127.0.0.1:9000"},
 			documentFlag(),
@@ -80,7 +80,7 @@
 			}
 			defer server.Close()
 			fmt.Fprintf(c.Root().Writer, "platform at %s\n", server.URL())
-			untilSignal(ctx)
+			waitForSignal(ctx)
 			return nil
 		},
 	}
@@ -89,7 +89,7 @@
 func newStandinTargets() *cli.Command {
 	return &cli.Command{
 		Name:  "targets",
-		Usage: "all targets of a document, at the addresses it names",
+		Usage: "run all targets of a document at their addresses",
 		Flags: []cli.Flag{documentFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			doc, err := loadDocument(c)
@@ -104,16 +104,16 @@
 				return err
 			}
 			fmt.Fprintf(c.Root().Writer, "%d targets up\n", len(targets))
-			untilSignal(ctx)
+			waitForSignal(ctx)
 			return nil
 		},
 	}
 }
 
-// What the targets of newStandinTargets are like.
+// Behavior of the targets that newStandinTargets runs.
 const (
-	targetSigma = 0.5
-	targetQueue = 2
+	standinServiceTimeSigma = 0.5
+	standinQueueLimit       = 2
 )
 
 func startTargets(doc *config.Document) ([]*target.Target, error) {
@@ -124,9 +124,9 @@
 				Name:       t.Name,
 				Address:    t.Address,
 				Slots:      t.Slots,
-				QueueLimit: targetQueue,
+				QueueLimit: standinQueueLimit,
 				Service:    max(svc.ServiceMS.Duration(), time.Millisecond),
-				Sigma:      targetSigma,
+				Sigma:      standinServiceTimeSigma,
 				Seed:       uint64(i),
 			})
 			if err != nil {
@@ -138,7 +138,7 @@
 	return targets, nil
 }
 
-func untilSignal(ctx context.Context) {
+func waitForSignal(ctx context.Context) {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -18,20 +18,20 @@
 	flagBefore  = "before"
 )
 
-// defaultBefore is how long before a request lines about its targets and its
-// VM are shown: within this time a lost store or a leaving target shows.
+// defaultBefore is how long before a request the lines about its targets and VMs
+// start, so that a lost store or a leaving target is included.
 const defaultBefore = 5 * time.Second
 
 func newTrace() *cli.Command {
 	return &cli.Command{
 		Name:      "trace",
-		Usage:     "tell a request's story from the logs of VMs",
+		Usage:     "print the log lines about a request, from the logs of VMs",
 		ArgsUsage: "[FILE...]",
-		Description: "Reads JSON log lines from the files, or from standard input, and prints those about the request in order: " +
-			"its own, and those about its targets and its VM from shortly before.",
+		Description: "Reads JSON log lines from the files, or from standard input, and prints those about the request, sorted by time: " +
+			"its own, and those about its targets and VMs from shortly before its start.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagRequest, Usage: "`ID` of the request", Required: true},
-			&cli.DurationFlag{Name: flagBefore, Usage: "how long before the request to begin", Value: defaultBefore},
+			&cli.DurationFlag{Name: flagBefore, Usage: "how long before the request to start", Value: defaultBefore},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			lines, err := readLogs(c.Args().Slice())
@@ -39,12 +39,12 @@
 				return usageError(err)
 			}
 			id := c.String(flagRequest)
-			story := logtrace.Story(lines, id, c.Duration(flagBefore))
-			if story == nil {
-				return trace.NotFound("no line of %d names request %s; lines of events may have been left out, see event 1011", len(lines), id)
+			selected := logtrace.Story(lines, id, c.Duration(flagBefore))
+			if selected == nil {
+				return trace.NotFound("none of %d lines has request id %s; lines may have been dropped, see event 1011", len(lines), id)
 			}
-			for i := range story {
-				if _, err := fmt.Fprintln(c.Root().Writer, story[i].String()); err != nil {
+			for i := range selected {
+				if _, err := fmt.Fprintln(c.Root().Writer, selected[i].String()); err != nil {
 					return trace.Wrap(err)
 				}
 			}
@@ -53,7 +53,7 @@
 	}
 }
 
-// readLogs reads the files, or standard input when there are none.
+// readLogs reads the given files, or standard input if there are none.
 func readLogs(files []string) ([]logtrace.Line, error) {
 	if len(files) == 0 {
 		return logtrace.Read(os.Stdin)
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -8,8 +8,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// version returns the module version of the build, with the revision when the
-// build knows it.
+// version returns the module version of the build, with the VCS revision if it
+// is recorded.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
