--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -13,44 +13,45 @@
 	mechanismSpread     = "two watchers per region, tree of degree 8 in each region, heartbeats carry the generation"
 	targetsPerSite      = 4
 	blockDocumentSites  = 50
-	adoptRepetitionTime = 200 * time.Millisecond
+	minAdoptMeasureTime = 200 * time.Millisecond
 )
 
-// configurationSlopes measures the role configuration: what each accepted
-// document costs a daemon.
+// configurationSlopes measures the role configuration: the cost for a daemon of
+// each accepted document.
 func configurationSlopes() []Slope {
 	targetSizes := []int{100, 400, 800, targetsPerSite * DesignSites}
 	blockSizes := []int{10_000, 30_000, 60_000, 120_000}
-	byTargets := Slope{Role: roleConfiguration, Over: "targets, no client blocks", Mechanism: mechanismSpread, DesignAt: targetsPerSite * DesignSites}
-	byBlocks := Slope{Role: roleConfiguration, Over: "client blocks", Mechanism: mechanismSpread, DesignAt: DesignBlocks}
+	byTargets := Slope{Role: roleConfiguration, SizeOf: "targets, no client blocks", Mechanism: mechanismSpread, DesignSize: targetsPerSite * DesignSites}
+	byBlocks := Slope{Role: roleConfiguration, SizeOf: "client blocks", Mechanism: mechanismSpread, DesignSize: DesignBlocks}
 	return []Slope{
-		slopeOf(of(byTargets, "time to adopt a document, ns"), targetSizes, func(n int) float64 { return adoptTime(documentOf(n, 0)) }),
-		slopeOf(of(byTargets, "document on the wire, bytes"), targetSizes, func(n int) float64 { return wireBytes(documentOf(n, 0)) }),
-		slopeOf(of(byTargets, "heap of a document in force, bytes"), targetSizes, func(n int) float64 { return documentHeap(documentOf(n, 0)) }),
-		slopeOf(of(byBlocks, "time to adopt a document, ns"), blockSizes, func(n int) float64 { return adoptTime(documentOf(blockDocumentSites, n)) }),
-		slopeOf(of(byBlocks, "time to adopt a document with the same client blocks, ns"), blockSizes, func(n int) float64 { return adoptSameBlocksTime(documentOf(blockDocumentSites, n)) }),
-		slopeOf(of(byBlocks, "document on the wire, bytes"), blockSizes, func(n int) float64 { return wireBytes(documentOf(blockDocumentSites, n)) }),
-		slopeOf(of(byBlocks, "heap of a document in force, bytes"), blockSizes, func(n int) float64 { return documentHeap(documentOf(blockDocumentSites, n)) }),
+		measureSlope(withQuantity(byTargets, "time to adopt a document, ns"), targetSizes, func(n int) float64 { return adoptTime(encodedDocument(n, 0)) }),
+		measureSlope(withQuantity(byTargets, "document on the wire, bytes"), targetSizes, func(n int) float64 { return wireBytes(encodedDocument(n, 0)) }),
+		measureSlope(withQuantity(byTargets, "heap of a document in force, bytes"), targetSizes, func(n int) float64 { return documentHeap(encodedDocument(n, 0)) }),
+		measureSlope(withQuantity(byBlocks, "time to adopt a document, ns"), blockSizes, func(n int) float64 { return adoptTime(encodedDocument(blockDocumentSites, n)) }),
+		measureSlope(withQuantity(byBlocks, "time to adopt a document with the same client blocks, ns"), blockSizes, func(n int) float64 { return adoptSameBlocksTime(encodedDocument(blockDocumentSites, n)) }),
+		measureSlope(withQuantity(byBlocks, "document on the wire, bytes"), blockSizes, func(n int) float64 { return wireBytes(encodedDocument(blockDocumentSites, n)) }),
+		measureSlope(withQuantity(byBlocks, "heap of a document in force, bytes"), blockSizes, func(n int) float64 { return documentHeap(encodedDocument(blockDocumentSites, n)) }),
 	}
 }
 
-func of(s Slope, quantity string) Slope {
+func withQuantity(s Slope, quantity string) Slope {
 	s.Quantity = quantity
 	return s
 }
 
-// documentOf returns an encoded document.
-func documentOf(targets, blocks int) *config.Encoded {
+// encodedDocument returns an encoded document with the given numbers of targets and
+// client blocks.
+func encodedDocument(targets, blocks int) *config.Encoded {
 	doc := *designSnapshot(targets).Document
 	doc.ClientBlocks = clientBlocks(blocks)
 	e, err := config.Split(&doc)
 	if err != nil {
-		panic(err) // the document is made here and always encodes
+		panic(err) // the document is generated above and always encodes
 	}
 	return e
 }
 
-func packed(e *config.Encoded) *repository.Packed {
+func mustPack(e *config.Encoded) *repository.Packed {
 	p, err := repository.Pack(e)
 	if err != nil {
 		panic(err) // writing to memory does not fail
@@ -58,47 +59,47 @@
 	return p
 }
 
-// adoptTime is the time to check, decompress, decode and index a document
-// that differs from the one in force in all its parts.
-func adoptTime(e *config.Encoded) float64 { return adoptTimeHaving(e, nil) }
+// adoptTime returns the time in nanoseconds to check, decompress, decode and index
+// a document that shares no part with the one in force.
+func adoptTime(e *config.Encoded) float64 { return adoptTimeWithPrevious(e, nil) }
 
-// adoptSameBlocksTime is the time to adopt a document whose client blocks are
-// those in force.
+// adoptSameBlocksTime returns the time in nanoseconds to adopt a document whose
+// client blocks are already in force.
 func adoptSameBlocksTime(e *config.Encoded) float64 {
-	return adoptTimeHaving(&config.Encoded{Main: e.Main, BlocksHash: e.BlocksHash}, loaded(e, nil))
+	return adoptTimeWithPrevious(&config.Encoded{Main: e.Main, BlocksHash: e.BlocksHash}, mustLoad(e, nil))
 }
 
-func adoptTimeHaving(e *config.Encoded, have *config.Snapshot) float64 {
-	p := packed(e)
-	return timePerCall(adoptRepetitionTime, func(int) {
+func adoptTimeWithPrevious(e *config.Encoded, have *config.Snapshot) float64 {
+	p := mustPack(e)
+	return timePerCall(minAdoptMeasureTime, func(int) {
 		opened, err := p.Open()
 		if err != nil {
-			panic(err) // packed right before
+			panic(err) // packed above
 		}
-		loaded(opened, have)
+		mustLoad(opened, have)
 	})
 }
 
-func loaded(e *config.Encoded, have *config.Snapshot) *config.Snapshot {
+func mustLoad(e *config.Encoded, have *config.Snapshot) *config.Snapshot {
 	snap, err := config.Load(1, e, have)
 	if err != nil {
-		panic(err) // encoded right before
+		panic(err) // encoded by encodedDocument
 	}
 	return snap
 }
 
 func wireBytes(e *config.Encoded) float64 {
-	p := packed(e)
+	p := mustPack(e)
 	return float64(len(p.Main) + len(p.Blocks))
 }
 
-// documentHeap is the heap of the snapshot and of the compressed document that
-// is kept to be passed on.
+// documentHeap returns the heap in bytes of a snapshot and of the compressed
+// document that a daemon keeps to send to others.
 func documentHeap(e *config.Encoded) float64 {
-	type kept struct {
+	type retained struct {
 		snap *config.Snapshot
 		body *repository.Packed
 	}
-	defer runtime.KeepAlive(e) // which is not part of what is held
-	return heapOf(func() *kept { return &kept{loaded(e, nil), packed(e)} })
+	defer runtime.KeepAlive(e) // keeps e out of the difference that is measured
+	return heapBytes(func() *retained { return &retained{mustLoad(e, nil), mustPack(e)} })
 }
--- a/internal/capacity/console.go
+++ b/internal/capacity/console.go
@@ -24,21 +24,21 @@
 	pageOfTargets    = edge.PathConsole + "edit/services/0/targets"
 )
 
-// consoleSlopes measures the role console: what one page of a form costs.
+// consoleSlopes measures the role console: the cost of rendering one page of a form.
 func consoleSlopes() []Slope {
 	sizes := []int{100, 400, 800, targetsPerSite * DesignSites}
 	return []Slope{
-		slopeOf(Slope{
-			Role: roleConsole, Quantity: "time of one page of targets, ns", Over: "targets",
-			Mechanism: mechanismConsole, DesignAt: targetsPerSite * DesignSites,
+		measureSlope(Slope{
+			Role: roleConsole, Quantity: "time of one page of targets, ns", SizeOf: "targets",
+			Mechanism: mechanismConsole, DesignSize: targetsPerSite * DesignSites,
 		}, sizes, func(n int) float64 {
 			s := newConsoleSession(designSnapshot(n))
-			return timePerCall(measureTime, func(int) { s.get(pageOfTargets) })
+			return timePerCall(minMeasureTime, func(int) { s.get(pageOfTargets) })
 		}),
 	}
 }
 
-// consoleSession is an operator who is logged in at a console.
+// consoleSession is the session of an operator who is logged in to the console.
 type consoleSession struct {
 	handler http.Handler
 	cookies []*http.Cookie
@@ -64,7 +64,8 @@
 	return s
 }
 
-// get renders a page. A page that is refused would make the figure a lie.
+// get renders a page. It panics on an error status, because the time of an error
+// page would falsify the result.
 func (s *consoleSession) get(path string) {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
 	for _, c := range s.cookies {
@@ -77,7 +78,7 @@
 	}
 }
 
-// fixedDocuments holds one document.
+// fixedDocuments serves one document that never changes.
 type fixedDocuments struct{ snap *config.Snapshot }
 
 var (
@@ -88,9 +89,9 @@
 // Current implements console.Documents.
 func (f fixedDocuments) Current() *config.Snapshot { return f.snap }
 
-// Apply implements console.Documents; nothing is applied here.
+// Apply implements console.Documents. It always fails.
 func (fixedDocuments) Apply(context.Context, repository.Proposal) (*repository.Accepted, error) {
-	return nil, trace.NotImplemented("documents are fixed")
+	return nil, trace.NotImplemented("applying documents is not supported")
 }
 
 // Head implements console.History.
--- a/internal/capacity/grants.go
+++ b/internal/capacity/grants.go
@@ -12,20 +12,20 @@
 	siteSlots       = 4
 )
 
-// grantSlopes measures the role grants: what one decision of a broker costs.
+// grantSlopes measures the role grants: the cost of a broker's decisions and of its pool.
 func grantSlopes() []Slope {
 	sizes := []int{14, 100, DesignSites, 1000}
-	base := Slope{Role: roleGrants, Over: "targets of one service in one region", Mechanism: mechanismBroker, DesignAt: DesignSites}
+	base := Slope{Role: roleGrants, SizeOf: "targets of one service in one region", Mechanism: mechanismBroker, DesignSize: DesignSites}
 	return []Slope{
-		slopeOf(of(base, "time of one decision with its release, ns"), sizes, choiceTime),
-		slopeOf(of(base, "heap of a broker's pool, bytes"), sizes, func(n int) float64 {
-			return heapOf(func() *steering.Pool { return poolOf(n) })
+		measureSlope(withQuantity(base, "time of one decision with its release, ns"), sizes, decisionTime),
+		measureSlope(withQuantity(base, "heap of a broker's pool, bytes"), sizes, func(n int) float64 {
+			return heapBytes(func() *steering.Pool { return newPool(n) })
 		}),
 	}
 }
 
-// poolOf returns a pool of n targets with all their slots usable.
-func poolOf(n int) *steering.Pool {
+// newPool returns a pool of n targets with all slots available.
+func newPool(n int) *steering.Pool {
 	cfg := steering.PoolConfig{
 		Region:      regionName(0),
 		Classes:     []steering.ClassSpec{{Name: "read", Weight: 1, MaxWait: time.Second}},
@@ -44,25 +44,26 @@
 
 var poolEpoch = time.Unix(1_000_000, 0)
 
-// choiceTime measures a decision and a release at four fifths of the slots.
-func choiceTime(n int) float64 {
-	p, now := poolOf(n), poolEpoch
+// decisionTime returns the time in nanoseconds of one decision and one release, with
+// four fifths of the slots in use.
+func decisionTime(n int) float64 {
+	p, now := newPool(n), poolEpoch
 	r := &steering.Request{Class: "read", Zone: zoneName(1), CallerRegion: regionName(0), Deadline: now.Add(time.Hour)}
 	var held []*steering.Target
-	take := func() {
+	acquire := func() {
 		p.Arrive(r, now)
 		held = append(held, p.TakeDecisions()[0].Target)
 	}
 	for range n * siteSlots * 4 / 5 {
-		take()
+		acquire()
 	}
-	return timePerCall(measureTime, func(i int) {
+	return timePerCall(minMeasureTime, func(i int) {
 		now = now.Add(time.Microsecond)
 		k := i % len(held)
 		t := held[k]
 		held[k] = held[len(held)-1]
 		held = held[:len(held)-1]
 		p.Release(t, 20*time.Millisecond, now)
-		take()
+		acquire()
 	})
 }
--- a/internal/capacity/lookup.go
+++ b/internal/capacity/lookup.go
@@ -11,46 +11,47 @@
 	"masticturn/internal/membership"
 )
 
-// measureTime is how long one point is measured.
-const measureTime = 100 * time.Millisecond
+// minMeasureTime is the minimum measuring time for one point.
+const minMeasureTime = 100 * time.Millisecond
 
 const mechanismTable = "longest-prefix table, immutable, swapped with the document"
 
-// lookupSlopes measures the role look-up.
+// lookupSlopes measures the role look-up: the cost of the table of client blocks and
+// of computing an answer.
 func lookupSlopes() []Slope {
 	blockSizes := []int{100_000, 300_000, 600_000, 950_000}
 	memberSizes := []int{100, 300, 700, 1_400}
 	return []Slope{
-		slopeOf(Slope{
-			Role: "look-up", Quantity: "heap of the table, bytes", Over: "client blocks",
-			Mechanism: mechanismTable, DesignAt: DesignBlocks,
+		measureSlope(Slope{
+			Role: "look-up", Quantity: "heap of the table, bytes", SizeOf: "client blocks",
+			Mechanism: mechanismTable, DesignSize: DesignBlocks,
 		}, blockSizes, func(n int) float64 {
 			blocks := clientBlocks(n)
 			defer runtime.KeepAlive(blocks)
-			return heapOf(func() *lookup.Table { return lookup.NewTable(blocks, lookup.Place{}) })
+			return heapBytes(func() *lookup.Table { return lookup.NewTable(blocks, lookup.Place{}) })
 		}),
-		slopeOf(Slope{
-			Role: "look-up", Quantity: "time to place a caller, ns", Over: "client blocks",
-			Mechanism: mechanismTable, DesignAt: DesignBlocks,
+		measureSlope(Slope{
+			Role: "look-up", Quantity: "time to place a caller, ns", SizeOf: "client blocks",
+			Mechanism: mechanismTable, DesignSize: DesignBlocks,
 		}, blockSizes, func(n int) float64 {
 			table := lookup.NewTable(clientBlocks(n), lookup.Place{})
-			return timePerCall(measureTime, func(i int) { table.Locate(blockAddress(i * 7919 % n)) })
+			return timePerCall(minMeasureTime, func(i int) { table.Locate(blockAddress(i * 7919 % n)) })
 		}),
-		slopeOf(Slope{
-			Role: "look-up", Quantity: "time to build the table, ns", Over: "client blocks",
-			Mechanism: mechanismTable, DesignAt: DesignBlocks,
+		measureSlope(Slope{
+			Role: "look-up", Quantity: "time to build the table, ns", SizeOf: "client blocks",
+			Mechanism: mechanismTable, DesignSize: DesignBlocks,
 		}, blockSizes, func(n int) float64 {
 			blocks := clientBlocks(n)
 			start := time.Now()
 			lookup.NewTable(blocks, lookup.Place{})
 			return float64(time.Since(start).Nanoseconds())
 		}),
-		slopeOf(Slope{
-			Role: "look-up", Quantity: "time to compute one answer, ns", Over: "daemons",
-			Mechanism: "one answer for each place and bucket, kept until the members to be named change", DesignAt: DesignDaemons,
+		measureSlope(Slope{
+			Role: "look-up", Quantity: "time to compute one answer, ns", SizeOf: "daemons",
+			Mechanism: "one answer for each place and bucket, kept until the members to be named change", DesignSize: DesignDaemons,
 		}, memberSizes, func(n int) float64 {
 			snap, roster := designSnapshot(0), lookup.NewRoster(designView(n))
-			return timePerCall(measureTime, func(i int) {
+			return timePerCall(minMeasureTime, func(i int) {
 				roster.Candidates(snap, lookup.Place{Region: regionName(0)}, i%lookup.Buckets, answersPerLookup)
 			})
 		}),
@@ -64,7 +65,7 @@
 	return netip.AddrFrom4([4]byte{byte(10 + i>>16), byte(i >> 8), byte(i), 1})
 }
 
-// clientBlocks makes n blocks of 256 addresses over the design's regions.
+// clientBlocks returns n blocks of 256 addresses, spread over the design's regions.
 func clientBlocks(n int) []config.ClientBlock {
 	blocks := make([]config.ClientBlock, n)
 	for i := range blocks {
@@ -80,8 +81,8 @@
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 func zoneName(i int) string   { return fmt.Sprintf("zone-%02d", i) }
 
-// designSnapshot makes a document of the design's regions and zones with a
-// number of targets of one service.
+// designSnapshot returns a snapshot with the design's regions and availability zones
+// and one service with the given number of targets.
 func designSnapshot(targets int) *config.Snapshot {
 	doc := &config.Document{
 		Deployment: "capacity",
@@ -109,12 +110,12 @@
 	doc.Services = []config.Service{svc}
 	snap, err := config.NewSnapshot(1, doc)
 	if err != nil {
-		panic(err) // the document is made here and always encodes
+		panic(err) // the document is generated above and always valid
 	}
 	return snap
 }
 
-// designView makes a view of n members spread over the design's zones.
+// designView returns a view of n members, spread over the design's availability zones.
 func designView(n int) *membership.View {
 	view := &membership.View{Version: 1, Self: memberName(0)}
 	for i := range n {
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The size to design for.
+// The design size of a deployment.
 const (
 	DesignDaemons        = 1_400
 	DesignBlocks         = 950_000
@@ -16,7 +16,7 @@
 	DesignChangesPerDay  = 5_700
 	DesignRestartsPerDay = 460
 
-	// What a daemon may spend on control.
+	// The budget of one daemon for control.
 	BudgetCPUFraction  = 0.04
 	BudgetMemoryBytes  = 128 << 20
 	BudgetBytesPerSec  = 14 << 10
@@ -25,15 +25,15 @@
 	nanosecondsPerCore = 1e9
 )
 
-// timePerCall runs f for at least minTime and returns the mean time of a call
-// in nanoseconds.
+// timePerCall calls f repeatedly for at least minTime and returns the mean time
+// per call in nanoseconds.
 func timePerCall(minTime time.Duration, f func(i int)) float64 {
 	f(0) // warm up
 	calls := 0
 	start := time.Now()
 	for time.Since(start) < minTime {
-		const batch = 16
-		for range batch {
+		const batchSize = 16
+		for range batchSize {
 			f(calls)
 			calls++
 		}
@@ -41,8 +41,8 @@
 	return float64(time.Since(start).Nanoseconds()) / float64(calls)
 }
 
-// heapOf returns the bytes of live heap that build's result holds.
-func heapOf[T any](build func() T) float64 {
+// heapBytes returns the live heap in bytes that the result of build keeps reachable.
+func heapBytes[T any](build func() T) float64 {
 	before := liveHeap()
 	v := build()
 	after := liveHeap()
@@ -58,8 +58,8 @@
 	return m.HeapAlloc
 }
 
-// slopeOf measures a cost at each size and fits the line.
-func slopeOf(s Slope, sizes []int, cost func(size int) float64) Slope {
+// measureSlope measures the cost at each size and fits the line.
+func measureSlope(s Slope, sizes []int, cost func(size int) float64) Slope {
 	for _, size := range sizes {
 		s.Points = append(s.Points, Point{Size: float64(size), Cost: cost(size)})
 	}
--- a/internal/capacity/measurement.go
+++ b/internal/capacity/measurement.go
@@ -11,42 +11,43 @@
 
 const mechanismBook = "two VMs of a target's region probe it; those who may broker it hear the results"
 
-// measureSlopes measures the role measurement.
+// measureSlopes measures the role measurement: the cost of recording probe results
+// and of publishing and reporting them.
 func measureSlopes() []Slope {
 	sizes := []int{50, 100, 200, DesignSites}
 	return []Slope{
-		slopeOf(Slope{
-			Role: "measurement", Quantity: "time to publish a view, ns", Over: "targets",
-			Mechanism: mechanismBook, DesignAt: DesignSites,
+		measureSlope(Slope{
+			Role: "measurement", Quantity: "time to publish a view, ns", SizeOf: "targets",
+			Mechanism: mechanismBook, DesignSize: DesignSites,
 		}, sizes, func(n int) float64 {
 			return probedTime(n, func(book *measure.Book) { book.Snapshot() })
 		}),
-		slopeOf(Slope{
-			Role: "measurement", Quantity: "time to take a probe's result, ns", Over: "targets",
-			Mechanism: mechanismBook, DesignAt: DesignSites,
+		measureSlope(Slope{
+			Role: "measurement", Quantity: "time to take a probe's result, ns", SizeOf: "targets",
+			Mechanism: mechanismBook, DesignSize: DesignSites,
 		}, sizes, func(n int) float64 {
 			return probedTime(n, func(*measure.Book) {})
 		}),
-		slopeOf(Slope{
-			Role: "measurement", Quantity: "report on the wire, bytes", Over: "targets in the report",
-			Mechanism: mechanismBook, DesignAt: 2 * DesignSites / DesignRegions,
+		measureSlope(Slope{
+			Role: "measurement", Quantity: "report on the wire, bytes", SizeOf: "targets in the report",
+			Mechanism: mechanismBook, DesignSize: 2 * DesignSites / DesignRegions,
 		}, []int{1, 5, 20, 100}, reportBytes),
 	}
 }
 
-// probedTime measures taking a probe's result into a book of n targets, and
-// what is done then.
+// probedTime returns the time per call in nanoseconds to record a probe's result in a
+// book of n targets and call then.
 func probedTime(n int, then func(*measure.Book)) float64 {
 	book, now := measure.NewBook(), time.Now()
 	book.Configure(designSnapshot(n))
-	return timePerCall(measureTime, func(i int) {
+	return timePerCall(minMeasureTime, func(i int) {
 		now = now.Add(time.Millisecond)
 		book.Probed(measure.Probe{Target: siteName(i % n), Reporter: "vm", OK: true, Status: edge.TargetOK, At: now}, now)
 		then(book)
 	})
 }
 
-// reportBytes is the size of a report of n targets on the wire.
+// reportBytes returns the encoded size of a report on n targets.
 func reportBytes(n int) float64 {
 	encoded, err := peer.Encode(measure.SampleReport(siteNames(n)))
 	if err != nil {
--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -13,62 +13,62 @@
 	roleMembership      = "membership"
 	mechanismMembership = "ring of neighbors in the region, two relays per region, digests and notes on heartbeats"
 
-	fleetStep     = 20 * time.Millisecond // of the simulated time
-	fleetTick     = 100 * time.Millisecond
-	fleetSettles  = 5 * time.Second
-	fleetMeasured = 15 * time.Second
-	frameOverhead = 14 // bytes that the peer network adds to a payload
+	fleetStep         = 20 * time.Millisecond // in simulated time
+	fleetTick         = 100 * time.Millisecond
+	fleetWarmUp       = 5 * time.Second
+	fleetMeasuredTime = 15 * time.Second
+	frameOverhead     = 14 // bytes that the peer protocol adds to each payload
 )
 
-// membershipSlopes measures the role membership on a steady fleet in which one
-// document is adopted by all. The machines are the daemons' own; time and
-// network are simulated, and the messages are encoded as on the wire.
+// membershipSlopes measures the role membership on a stable fleet in which all
+// daemons adopt one document. It runs the daemons' state machines in simulated
+// time on a simulated network, with messages encoded as on the wire.
 func membershipSlopes() []Slope {
 	sizes := []int{100, 200, 400, 700}
 	costs := make(map[int]fleetCost)
 	for _, n := range sizes {
 		costs[n] = measureFleet(n)
 	}
-	base := Slope{Role: roleMembership, Over: "daemons", Mechanism: mechanismMembership, DesignAt: DesignDaemons}
+	base := Slope{Role: roleMembership, SizeOf: "daemons", Mechanism: mechanismMembership, DesignSize: DesignDaemons}
 	return []Slope{
-		slopeOf(of(base, "frames in and out, bytes per second and daemon, mean"), sizes, func(n int) float64 { return costs[n].meanBytes }),
-		slopeOf(of(base, "frames in and out, bytes per second, busiest daemon"), sizes, func(n int) float64 { return costs[n].mostBytes }),
-		slopeOf(of(base, "processor time with the codec, ns per second and daemon"), sizes, func(n int) float64 { return costs[n].nanos }),
+		measureSlope(withQuantity(base, "frames in and out, bytes per second and daemon, mean"), sizes, func(n int) float64 { return costs[n].meanBytes }),
+		measureSlope(withQuantity(base, "frames in and out, bytes per second, busiest daemon"), sizes, func(n int) float64 { return costs[n].mostBytes }),
+		measureSlope(withQuantity(base, "processor time with the codec, ns per second and daemon"), sizes, func(n int) float64 { return costs[n].nanos }),
 	}
 }
 
-// fleetCost is what membership costs a daemon of a fleet, per second.
+// fleetCost is the cost of membership for one daemon, per second of simulated time.
 type fleetCost struct {
 	meanBytes, mostBytes, nanos float64
 }
 
-// fleet runs the machines of a fleet in simulated time.
+// fleet runs the membership state machines of a fleet in simulated time.
 type fleet struct {
-	now   time.Time
-	nodes []*membership.StateMachine
-	index map[string]int
-	mail  []letter
-	bytes []float64 // in and out, by daemon; counted while counting
-	count bool
+	now           time.Time
+	stateMachines []*membership.StateMachine
+	index         map[string]int
+	inFlight      []delivery
+	bytes         []float64 // sent and received, by daemon; counted while measuring is set
+	measuring     bool
 }
 
-// letter is a message that arrives at the next step.
-type letter struct {
+// delivery is a message that arrives in the next step.
+type delivery struct {
 	from, to int
 	hb       *membership.Heartbeat
 }
 
 func measureFleet(n int) fleetCost {
 	f := newFleet(n)
-	f.run(fleetSettles)
-	f.count = true
-	for i, m := range f.nodes {
-		f.do(i, m.SetGeneration(f.now, 2, 1))
+	f.run(fleetWarmUp)
+	f.measuring = true
+	for i, m := range f.stateMachines {
+		f.apply(i, m.SetGeneration(f.now, 2, 1))
 	}
 	start := time.Now()
-	f.run(fleetMeasured)
+	f.run(fleetMeasuredTime)
 	elapsed := float64(time.Since(start).Nanoseconds())
-	seconds := fleetMeasured.Seconds()
+	seconds := fleetMeasuredTime.Seconds()
 	cost := fleetCost{nanos: elapsed / seconds / float64(n)}
 	for _, b := range f.bytes {
 		cost.meanBytes += b / seconds / float64(n)
@@ -77,7 +77,7 @@
 	return cost
 }
 
-// newFleet makes n daemons over the design's regions that know each other.
+// newFleet returns n daemons that know each other, spread over the design's regions.
 func newFleet(n int) *fleet {
 	f := &fleet{now: time.Unix(1_000_000, 0), index: make(map[string]int), bytes: make([]float64, n)}
 	answer := &membership.JoinResponse{Name: "table"}
@@ -91,10 +91,10 @@
 	}
 	for i, r := range answer.Records {
 		f.index[r.Name] = i
-		f.nodes = append(f.nodes, membership.NewStateMachine(r, membership.Options{}.WithDefaults(), rand.New(rand.NewPCG(uint64(i), 1)), f.now))
+		f.stateMachines = append(f.stateMachines, membership.NewStateMachine(r, membership.Options{}.WithDefaults(), rand.New(rand.NewPCG(uint64(i), 1)), f.now))
 	}
-	for i, m := range f.nodes {
-		f.do(i, m.HandleJoinResponse(f.now, answer))
+	for i, m := range f.stateMachines {
+		f.apply(i, m.HandleJoinResponse(f.now, answer))
 	}
 	return f
 }
@@ -102,34 +102,35 @@
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(fleetStep)
-		mail := f.mail
-		f.mail = nil
-		for _, l := range mail {
-			f.do(l.to, f.nodes[l.to].Receive(f.now, memberName(l.from), l.hb))
+		deliveries := f.inFlight
+		f.inFlight = nil
+		for _, l := range deliveries {
+			f.apply(l.to, f.stateMachines[l.to].Receive(f.now, memberName(l.from), l.hb))
 		}
 		if f.now.UnixNano()%int64(fleetTick) == 0 {
-			for i, m := range f.nodes {
-				f.do(i, m.Tick(f.now))
+			for i, m := range f.stateMachines {
+				f.apply(i, m.Tick(f.now))
 			}
 		}
 	}
 }
 
-// do carries out the messages among a machine's actions.
-func (f *fleet) do(from int, actions []membership.Action) {
+// apply sends the heartbeats among the actions of a state machine and ignores other actions.
+func (f *fleet) apply(from int, actions []membership.Action) {
 	for _, a := range actions {
 		if send, ok := a.(membership.SendHeartbeat); ok {
 			to := f.index[send.To]
-			f.charge(from, to, send.Heartbeat)
-			f.mail = append(f.mail, letter{from, to, send.Heartbeat})
+			f.countBytes(from, to, send.Heartbeat)
+			f.inFlight = append(f.inFlight, delivery{from, to, send.Heartbeat})
 		}
 	}
-	f.nodes[from].View() // as the service does
+	f.stateMachines[from].View() // as the membership service does, so that its cost is included
 }
 
-// charge counts a message at both ends, encoded and decoded as on the wire.
-func (f *fleet) charge(from, to int, hb *membership.Heartbeat) {
-	if !f.count {
+// countBytes adds the size of a message to its sender and receiver. It encodes and
+// decodes the message, so that the measured time includes the codec.
+func (f *fleet) countBytes(from, to int, hb *membership.Heartbeat) {
+	if !f.measuring {
 		return
 	}
 	raw, err := peer.Encode(hb)
--- a/internal/capacity/slope_test.go
+++ b/internal/capacity/slope_test.go
@@ -18,10 +18,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := Slope{Points: tt.points, DesignAt: 10}
+			s := Slope{Points: tt.points, DesignSize: 10}
 			s.fit()
 			for _, v := range []struct{ got, want float64 }{
-				{s.Intercept, tt.intercept}, {s.PerUnit, tt.slope}, {s.Design, tt.design}, {s.MaxOff, tt.maxOff},
+				{s.Intercept, tt.intercept}, {s.PerUnit, tt.slope}, {s.DesignCost, tt.design}, {s.MaxRelativeError, tt.maxOff},
 			} {
 				if math.Abs(v.got-v.want) > 1e-9 {
 					t.Errorf("got %g, want %g", v.got, v.want)
