--- a/internal/command/losses.go
+++ b/internal/command/losses.go
@@ -43,7 +43,7 @@
 			&cli.IntFlag{Name: flagExamples, Usage: "number of example requests to print for each cause", Value: 3},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			o := losses.Options{Worth: make(map[string]losses.Worth), Way: c.Duration(flagWay), Trip: c.Duration(flagTrip)}
+			o := losses.Options{Worth: make(map[string]losses.Worth), CallerRTT: c.Duration(flagWay), RegionRTT: c.Duration(flagTrip)}
 			for _, text := range c.StringSlice(flagWorth) {
 				class, w, err := losses.ParseWorth(text)
 				if err != nil {
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -39,7 +39,7 @@
 				return usageError(err)
 			}
 			id := c.String(flagRequest)
-			selected := logtrace.Story(lines, id, c.Duration(flagBefore))
+			selected := logtrace.RequestLines(lines, id, c.Duration(flagBefore))
 			if selected == nil {
 				return trace.NotFound("none of %d lines has request id %s; lines may have been dropped, see event 1011", len(lines), id)
 			}
--- a/internal/logtrace/logtrace.go
+++ b/internal/logtrace/logtrace.go
@@ -111,7 +111,7 @@
 	return b.String()
 }
 
-// Story returns the lines about a request, sorted by time and VM:
+// RequestLines returns the lines about a request, sorted by time and VM:
 //
 //   - the lines with its id;
 //   - the lines of its VMs without a request id that name one of its targets or no target, from the given
@@ -119,7 +119,7 @@
 //   - the lines of all VMs without a request id that name its digest, up to its last line.
 //
 // It returns nil if no line has the id.
-func Story(lines []Line, id string, before time.Duration) []Line {
+func RequestLines(lines []Line, id string, before time.Duration) []Line {
 	own := slices.DeleteFunc(slices.Clone(lines), func(l Line) bool { return l.Text(fieldRequest) != id })
 	if len(own) == 0 {
 		return nil
--- a/internal/logtrace/logtrace_test.go
+++ b/internal/logtrace/logtrace_test.go
@@ -18,20 +18,20 @@
 {"event":"broken"
 `
 
-func TestStory(t *testing.T) {
+func TestRequestLines(t *testing.T) {
 	lines, err := Read(strings.NewReader(logText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
-	for _, l := range Story(lines, "a", time.Second) {
+	for _, l := range RequestLines(lines, "a", time.Second) {
 		got = append(got, l.Message+" "+l.Text(fieldPeer))
 	}
 	want := "target changed t1|store lost |request placed t1|request failed t1"
 	if strings.Join(got, "|") != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	if Story(lines, "unknown", time.Second) != nil {
+	if RequestLines(lines, "unknown", time.Second) != nil {
 		t.Error("got lines for an unknown request id, want none")
 	}
 }
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestStoryIncludesDigestLines(t *testing.T) {
+func TestRequestLinesIncludeDigest(t *testing.T) {
 	lines, err := Read(strings.NewReader(`{"event":5302,"msg":"request is in quarantine","digest":"d1","time":"2026-01-02T03:00:00Z","vm":"vm2"}
 {"event":5302,"msg":"request is in quarantine","digest":"d2","time":"2026-01-02T03:00:00Z","vm":"vm1"}
 {"event":5009,"msg":"run broken by its target","digest":"d1","request_id":"b","time":"2026-01-02T03:00:00Z","vm":"vm2"}
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	var got []string
-	for _, l := range Story(lines, "a", time.Second) {
+	for _, l := range RequestLines(lines, "a", time.Second) {
 		got = append(got, l.VM+" "+l.Message)
 	}
 	if want := "vm2 request is in quarantine|vm1 request held back"; strings.Join(got, "|") != want {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Read(lines).Count(Options{Worth: map[string]Worth{"c": {InTime: 2, Late: 0.4}}, Way: 6 * time.Millisecond, Trip: 70 * time.Millisecond})
+	return Read(lines).Count(Options{Worth: map[string]Worth{"c": {InTime: 2, Late: 0.4}}, CallerRTT: 6 * time.Millisecond, RegionRTT: 70 * time.Millisecond})
 }
 
 func TestCauses(t *testing.T) {
--- a/internal/losses/table.go
+++ b/internal/losses/table.go
@@ -37,10 +37,10 @@
 
 // Options configures how losses are computed.
 type Options struct {
-	Worth  map[string]Worth // by class
-	Way    time.Duration    // round trip between a caller and its VM
-	Trip   time.Duration    // round trip between two regions
-	Window time.Duration    // length of the windows of ByWindow; 0 means defaultWindow
+	Worth     map[string]Worth // by class
+	CallerRTT time.Duration    // round trip between a caller and its VM
+	RegionRTT time.Duration    // round trip between two regions
+	Window    time.Duration    // length of the windows of ByWindow; 0 means defaultWindow
 }
 
 // defaultWindow equals the window length of the users' report.
@@ -88,7 +88,7 @@
 		if !r.served() {
 			l.Cause, l.Worth = r.failureCause(), w.InTime
 			t.Losses = append(t.Losses, l)
-		} else if cause, late := r.lateCause(typicalLatencies[r.rule], region, o.Way, o.Trip); late {
+		} else if cause, late := r.lateCause(typicalLatencies[r.rule], region, o.CallerRTT, o.RegionRTT); late {
 			l.Cause, l.Worth = cause, w.InTime-w.Late
 			t.Losses = append(t.Losses, l)
 		}
