--- a/internal/drain/machine.go
+++ b/internal/drain/machine.go
@@ -50,10 +50,10 @@
 	actionRefuse                             // refuse further requests
 )
 
-// stopParams are the parameters of a stop. If it is bounded, propagation is its linger time.
+// stopParams are the parameters of a stop.
 type stopParams struct {
 	lookupMaxAge   time.Duration // how long callers may cache a look-up
-	propagation    time.Duration // from the neighbors' acknowledgment until no VM names this one in look-ups
+	propagation    time.Duration // from the neighbors' acknowledgment until no VM names this one in look-ups; if bounded, the linger time
 	bounded        bool          // the stop is limited in time: requests are refused after the linger time
 	reportInterval time.Duration // interval of logging the requests in flight
 }
--- a/internal/edge/dialect.go
+++ b/internal/edge/dialect.go
@@ -13,7 +13,7 @@
 	CallerTimeoutMS string // request: milliseconds that the caller will wait
 	ObjectKey       string // request: the object that it concerns
 	IdempotencyKey  string // request
-	NoRetry         string // request: "1" means that it must not be retried
+	NoRetry         string // request: "1" means that it must not run more than once
 	CustomerKey     string // request: API key of a customer; not forwarded
 	// Credentials are the headers that identify the caller.
 	Credentials []string
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -215,6 +215,7 @@
 		step = outcome.StepSend
 	}
 	result := attemptResult{Step: step, Fault: a.contextFault(FaultConnectionBroken), Err: err}
+	// Seal returns true if no byte of the request was written.
 	result.Sent = !a.conn.Seal()
 	if !result.Sent {
 		result.Step = outcome.StepSend
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -42,7 +42,7 @@
 	reservedBytes int64         // memory reserved to read the body ahead, in bytes
 	claim         idempotency.Claim
 	recorder      *responseRecorder // nil if there is no claim
-	pass          *quarantine.Lease // nil: no restrictions
+	lease         *quarantine.Lease // nil: the request needs none
 	probeDone     <-chan struct{}   // closed once it is known whether the last target crashed; nil: no probe
 
 	dispatch      dispatch
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -8,9 +8,10 @@
 	"masticturn/internal/config"
 )
 
-// maxAttempts returns the limit of the rule or else of the document; 1 for an exclusive run.
+// maxAttempts returns the limit of the rule or else of the document; 1 for a request
+// that holds a lease.
 func (x *exchange) maxAttempts(c *config.Retry) int {
-	if x.pass.Held() {
+	if x.lease.Held() {
 		return 1
 	}
 	if r := x.match.Rule; r != nil && r.MaxAttempts > 0 {
--- a/internal/forward/screen.go
+++ b/internal/forward/screen.go
@@ -55,11 +55,11 @@
 	}
 	ctx, cancel := context.WithDeadlineCause(x.r.Context(), x.deadline, errDeadline)
 	defer cancel()
-	pass, refusal := screen.Admit(ctx, x.subject())
+	lease, refusal := screen.Admit(ctx, x.subject())
 	if refusal != nil {
 		return x.quarantineError(refusal)
 	}
-	x.pass = pass
+	x.lease = lease
 	return nil
 }
 
@@ -85,7 +85,7 @@
 // a slot and a connection.
 func (a *attempt) recheckQuarantine() attemptResult {
 	x := a.x
-	if x.h.deps.Screen == nil || x.pass.Held() {
+	if x.h.deps.Screen == nil || x.lease.Held() {
 		return attemptResult{}
 	}
 	refusal := x.h.deps.Screen.Recheck(x.subject())
@@ -119,21 +119,21 @@
 	}
 }
 
-// releaseQuarantine releases the memory of the body and an exclusive pass, the latter after a probe in
+// releaseQuarantine releases the memory of the body and the lease, the latter after a probe in
 // progress.
 func (x *exchange) releaseQuarantine() {
 	x.h.readAheadMemory.release(x.reservedBytes)
-	if !x.pass.Held() {
+	if !x.lease.Held() {
 		return
 	}
 	if x.probeDone == nil {
-		x.pass.Release()
+		x.lease.Release()
 		return
 	}
-	go func(pass *quarantine.Lease, probed <-chan struct{}) {
+	go func(lease *quarantine.Lease, probed <-chan struct{}) {
 		<-probed
-		pass.Release()
-	}(x.pass, x.probeDone)
+		lease.Release()
+	}(x.lease, x.probeDone)
 }
 
 // readAhead reads the body of a request whose head is on record for crashes, as far as the body counts
--- a/internal/forward/screen_test.go
+++ b/internal/forward/screen_test.go
@@ -18,8 +18,8 @@
 	"masticturn/internal/telemetry"
 )
 
-// fakeScreen is a quarantine.Screen that rejects the digests in held.
-type fakeScreen struct {
+// fakeScreener is a quarantine.Screener that rejects the digests in held.
+type fakeScreener struct {
 	mu            sync.Mutex
 	held          map[digest.Digest]bool
 	heads         map[digest.Digest]bool
@@ -28,18 +28,18 @@
 	answered      []quarantine.RequestDigests
 }
 
-func (f *fakeScreen) Active() bool                       { return true }
-func (f *fakeScreen) Has(quarantine.RequestDigests) bool { return true }
-func (f *fakeScreen) HasHead(h digest.Digest) bool       { return f.heads[h] }
+func (f *fakeScreener) Active() bool                       { return true }
+func (f *fakeScreener) Has(quarantine.RequestDigests) bool { return true }
+func (f *fakeScreener) HasHead(h digest.Digest) bool       { return f.heads[h] }
 
-func (f *fakeScreen) Admit(_ context.Context, s quarantine.RequestDigests) (*quarantine.Lease, *quarantine.Refusal) {
+func (f *fakeScreener) Admit(_ context.Context, s quarantine.RequestDigests) (*quarantine.Lease, *quarantine.Refusal) {
 	if f.held[s.Whole] {
 		return nil, &quarantine.Refusal{Digest: s.Whole, Assessment: quarantine.Assessment{Verdict: quarantine.Quarantined}}
 	}
 	return nil, nil
 }
 
-func (f *fakeScreen) Recheck(s quarantine.RequestDigests) *quarantine.Refusal {
+func (f *fakeScreener) Recheck(s quarantine.RequestDigests) *quarantine.Refusal {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.barAfterCrash && len(f.crashed) > 0 {
@@ -48,20 +48,20 @@
 	return nil
 }
 
-func (f *fakeScreen) Crashed(s quarantine.RequestDigests, _ string, _, _ time.Time) {
+func (f *fakeScreener) Crashed(s quarantine.RequestDigests, _ string, _, _ time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashed = append(f.crashed, s)
 }
 
-func (f *fakeScreen) Answered(s quarantine.RequestDigests) {
+func (f *fakeScreener) Answered(s quarantine.RequestDigests) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answered = append(f.answered, s)
 }
 
-// newQuarantineProxy returns a proxy with the given quarantine screen.
-func newQuarantineProxy(t *testing.T, s *fakeScreen, targets ...string) *testProxy {
+// newQuarantineProxy returns a proxy with the given quarantine.Screener.
+func newQuarantineProxy(t *testing.T, s *fakeScreener, targets ...string) *testProxy {
 	t.Helper()
 	b := newTestProxy(t, testDocument(targets...), nil, telemetry.Discard())
 	b.handler.deps.Screen = s
@@ -85,7 +85,7 @@
 		got.Store(&text)
 		_, _ = io.WriteString(w, "ok")
 	})
-	s := &fakeScreen{}
+	s := &fakeScreener{}
 	b := newQuarantineProxy(t, s, target)
 	head := b.headOf("POST", "/svc/a?q=1")
 	s.heads = map[digest.Digest]bool{head.Key(): true}
@@ -129,7 +129,7 @@
 		text := string(raw) + " " + r.Trailer.Get("X-Sum")
 		got.Store(&text)
 	})
-	s := &fakeScreen{}
+	s := &fakeScreener{}
 	b := newQuarantineProxy(t, s, target)
 	s.heads = map[digest.Digest]bool{b.headOf("POST", "/svc/a").Key(): true}
 	req, _ := http.NewRequest("POST", b.URL+"/svc/a", chunkedBody{strings.NewReader("body")})
@@ -146,7 +146,7 @@
 
 // The memory of all bodies that are read ahead is limited.
 func TestReadAheadMemoryIsLimited(t *testing.T) {
-	s := &fakeScreen{}
+	s := &fakeScreener{}
 	b := newQuarantineProxy(t, s, newTarget(t, func(http.ResponseWriter, *http.Request) {}))
 	s.heads = map[digest.Digest]bool{b.headOf("POST", "/svc/a").Key(): true}
 	b.handler.readAheadMemory.reserve(maxReadAheadBytes - readAheadChunkBytes)
@@ -166,7 +166,7 @@
 func TestRetryIsHeldBackAfterACrash(t *testing.T) {
 	var reached atomic.Int64
 	second := newTarget(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
-	s := &fakeScreen{barAfterCrash: true}
+	s := &fakeScreener{barAfterCrash: true}
 	b := newQuarantineProxy(t, s, newBreakingTarget(t, true), second)
 	resp, _, err := b.call(t, "GET", "/svc/a", nil)
 	if err != nil || resp.StatusCode != http.StatusBadGateway || resp.Header.Get(edge.HeaderOutcome) != "unknown" {
@@ -190,7 +190,7 @@
 		panic(http.ErrAbortHandler)
 	}))
 	defer s.Close()
-	screen := &fakeScreen{}
+	screen := &fakeScreener{}
 	b := newQuarantineProxy(t, screen, s.Listener.Addr().String())
 	body, writer := io.Pipe()
 	beginning := bytes.Repeat([]byte("x"), 20_000)
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -20,12 +20,13 @@
 // ServiceName is the name under which the service is registered.
 const ServiceName = "idempotency.keys"
 
+// The document does not set these values, except where noted.
 const (
 	ticketLifetime      = time.Hour
-	ticketRenewInterval = 5 * time.Minute // period of renewal
-	ticketRetryDelay    = 2 * time.Second // delay after a failed fetch
-	defaultMaxBytes     = 32 << 20        // unless set in the document
-	defaultRetention    = 15 * time.Minute
+	ticketRenewInterval = 5 * time.Minute  // period of renewal
+	ticketRetryDelay    = 2 * time.Second  // delay after a failed fetch
+	defaultMaxBytes     = 32 << 20         // unless set in the document
+	defaultRetention    = 15 * time.Minute // unless set in the document
 	maxAbandonedTokens  = 16384
 	backgroundTimeout   = 10 * time.Second // for writing one outcome to the platform or the key's owner
 	maxBackgroundWrites = 256              // concurrent writes; further outcomes are kept in memory only
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -15,7 +15,7 @@
 	Region        string
 	PeerAddress   string
 	CallerAddress string
-	Cores         float64 // CPU time of the VM, in cores; 0: unknown
+	Cores         float64 // CPU capacity of the VM, in cores; 0: unknown
 	Incarnation   uint64
 	Process       uint64 // first incarnation of the process
 	Seq           uint64 // increased by the member with each change and to refute a suspicion
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -27,7 +27,7 @@
 	Region        string
 	PeerAddress   string  // host:port of the peer listener
 	CallerAddress string  // host:port of the caller listener
-	Cores         float64 // CPU time of the VM, in cores; 0: unknown
+	Cores         float64 // CPU capacity of the VM, in cores; 0: unknown
 	Incarnation   uint64
 	Process       uint64 // first incarnation of its process; later ones do not imply a restart
 	State         State
--- a/internal/placement/emulation/troubles.go
+++ b/internal/placement/emulation/troubles.go
@@ -172,7 +172,7 @@
 	s.tryNextTarget(a)
 }
 
-// handleAnswer applies the leaving notice of an answer, and acquits the request in the ledger, as
+// handleAnswer applies the leaving notice of an answer, and clears the request in the ledger, as
 // its target did not crash.
 func (s *simulation) handleAnswer(a *attempt, leaving bool) {
 	if leaving {
--- a/internal/quarantine/events.go
+++ b/internal/quarantine/events.go
@@ -34,7 +34,7 @@
 		Level:   logrus.DebugLevel,
 		Name:    "quarantine not stored",
 		Meaning: "A call to the store about requests in quarantine failed and will be retried. Replication between VMs does not depend on it.",
-		Action:  "None while the store is away.",
+		Action:  "None while the store is unavailable.",
 	})
 	eventObjectBad = telemetry.Register(telemetry.Event{
 		Number:  telemetry.RangeForward + 305,
--- a/internal/quarantine/lease.go
+++ b/internal/quarantine/lease.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// maxLease is the maximum duration of a lease.
+	// maxLease is the maximum duration of a lease. It bounds leases whose release never
+	// arrives.
 	maxLease = 30 * time.Second
 	// leaseTimeout is the timeout of the call to the VM that grants the lease.
 	leaseTimeout = 400 * time.Millisecond
--- a/internal/quarantine/persistence.go
+++ b/internal/quarantine/persistence.go
@@ -17,7 +17,8 @@
 // the whole fleet and reach VMs that are partitioned from all others. Operators lift a
 // quarantine by deleting its object.
 const (
-	// maxWriters is the number of VMs that try to persist a record, writerDelay partitioned.
+	// maxWriters is the number of VMs that try to persist a record, one after the other,
+	// writerDelay apart.
 	maxWriters  = 3
 	writerDelay = 2 * time.Second
 	// storeTimeout is the timeout of a call to the store.
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -347,7 +347,9 @@
 	return worst, a
 }
 
-// suspectRetryAfter is the maximum Retry-After value for suspect requests.
+// suspectRetryAfter is the Retry-After value for suspect requests while another run holds
+// the lease, and if the delay is unknown. It is also the maximum: a shorter known delay is
+// used instead.
 const suspectRetryAfter = 500 * time.Millisecond
 
 // refusal returns a rejection and counts it; s.mu is held.
--- a/internal/ratelimit/holder.go
+++ b/internal/ratelimit/holder.go
@@ -96,7 +96,8 @@
 }
 
 // retryAfter returns the time after which a refused request should be retried. Retries are spaced by
-// the share's rate, so that there is a token for each, but start at most maxRetryJitter after wait.
+// the share's rate, so that there is a token for each, but start at most maxRetryJitter after wait,
+// soon enough to be of use.
 func (h *holder) retryAfter(name string, wait, now time.Duration) time.Duration {
 	hs := h.shares[name]
 	if hs == nil || hs.bucket == nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -59,7 +59,7 @@
 	Name   string `json:"name"`
 	Zone   string `json:"zone"`   // availability zone
 	Region string `json:"region"` // region of the availability zone
-	// Cores is the CPU time available to the VM, in cores; 0: unknown.
+	// Cores is the CPU capacity available to the VM, in cores; 0: unknown.
 	Cores float64 `json:"cores,omitempty"`
 }
 
@@ -173,7 +173,7 @@
 func describeDecodeError(err error, raw []byte, offset int64) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
-		return trace.BadParameter("line %d: field %s: got a %s, must be a %s",
+		return trace.BadParameter("line %d: field %s: got a %s; allowed is a %s",
 			lineAt(raw, typeErr.Offset), typeErr.Field, typeErr.Value, typeErr.Type)
 	}
 	if field, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
@@ -248,17 +248,17 @@
 	}
 	for _, l := range listeners {
 		if _, _, err := net.SplitHostPort(l.value); err != nil {
-			addProblem(l.field, "got %q, must be host:port", l.value)
+			addProblem(l.field, "got %q; allowed is host:port", l.value)
 		}
 	}
 	if s.Platform.TimeoutMS < 0 || s.Platform.CallsPerSecond < 0 {
 		addProblem("platform", "timeout_ms and calls_per_second must be positive")
 	}
 	if s.Log.Format != telemetry.FormatJSON && s.Log.Format != telemetry.FormatText {
-		addProblem("log.format", "got %q, must be one of json, text", s.Log.Format)
+		addProblem("log.format", "got %q; allowed is one of json, text", s.Log.Format)
 	}
 	if _, err := logrus.ParseLevel(s.Log.Level); err != nil {
-		addProblem("log.level", "got %q, must be one of error, warning, info, debug", s.Log.Level)
+		addProblem("log.level", "got %q; allowed is one of error, warning, info, debug", s.Log.Level)
 	}
 	for _, t := range []struct {
 		field string
--- a/internal/targetconn/idle.go
+++ b/internal/targetconn/idle.go
@@ -96,8 +96,8 @@
 	return p.idleLimitLocked()
 }
 
-// popIdle removes and returns the most recently used idle connection, or nil. Below defaultIdleLimit, the
-// connection stays in the pool if it has been idle for longer than the limit.
+// popIdle removes and returns the most recently used idle connection, or nil. If the limit is below
+// defaultIdleLimit, a connection that has been idle for longer than the limit stays in the pool.
 func (p *pool) popIdle(now time.Time, limit time.Duration) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/targetconn/stale.go
+++ b/internal/targetconn/stale.go
@@ -13,8 +13,8 @@
 	// minStaleShare is the share of stale connections from which the idle limit is reduced. A lower share
 	// may be caused by addresses that were reassigned to other targets.
 	minStaleShare = 0.25
-	// reducedLimitFraction is the reduced limit as a fraction of a stale connection's idle time: that the
-	// target's timeout is shorter than this time is all that is known.
+	// reducedLimitFraction is the reduced limit as a fraction of a stale connection's idle time. The
+	// target's timeout is only known to be shorter than that time.
 	reducedLimitFraction = 0.25
 	// resetRoundTrips and resetSlack bound the delay from a request on a stale connection to its reset: one
 	// round trip, as estimated by the shortest connect time, and some slack. A target that fails while
