--- a/internal/confsync/fleet_test.go
+++ b/internal/confsync/fleet_test.go
@@ -21,11 +21,14 @@
 	"masticturn/internal/platform/platformtest"
 )
 
-// Times of the fake membership of the fleet.
+// Timing of the simulated membership, and the limit that the tests assert.
 const (
-	heartbeat   = 500 * time.Millisecond
-	removeAfter = 2 * time.Second
-	inForceMax  = 3 * time.Second // limit from acceptance until in force on all daemons
+	heartbeat   = 500 * time.Millisecond // interval at which daemons receive a new view
+	removeAfter = 2 * time.Second        // time that a crashed daemon remains listed as a member
+
+	// inForceMax limits the time from the acceptance of a document until it is in force on
+	// all running daemons.
+	inForceMax = 3 * time.Second
 )
 
 // fakeMembers is the fake membership.Source of one daemon.
--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -262,12 +262,12 @@
 
 func (d *Daemon) newHostedDrain(w *wiring) (kernel.Service, error) {
 	return drain.NewService(drain.Deps{
-		Members:   leaver{w.members, w.entry},
-		Callers:   w.forwarder,
-		Config:    w.discovery,
-		StopGrace: d.settings.Bounds.StopGrace,
-		Clock:     d.opts.Clock,
-		Logger:    d.opts.Logger,
+		Membership: leaver{w.members, w.entry},
+		Callers:    w.forwarder,
+		Config:     w.discovery,
+		StopGrace:  d.settings.Bounds.StopGrace,
+		Clock:      d.opts.Clock,
+		Logger:     d.opts.Logger,
 	}), nil
 }
 
--- a/internal/daemon/modules.go
+++ b/internal/daemon/modules.go
@@ -298,10 +298,10 @@
 
 func (d *Daemon) newDrain(w *wiring) (kernel.Service, error) {
 	return drain.NewService(drain.Deps{
-		Members: w.members,
-		Callers: w.forwarder,
-		Config:  w.config,
-		Clock:   d.opts.Clock,
-		Logger:  d.opts.Logger,
+		Membership: w.members,
+		Callers:    w.forwarder,
+		Config:     w.config,
+		Clock:      d.opts.Clock,
+		Logger:     d.opts.Logger,
 	}), nil
 }
--- a/internal/drain/bounded_test.go
+++ b/internal/drain/bounded_test.go
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		callers := &idleCallers{}
 		s := NewService(Deps{
-			Members: silentMembers{}, Callers: callers, Config: noDocument{}, StopGrace: grace,
+			Membership: silentMembers{}, Callers: callers, Config: noDocument{}, StopGrace: grace,
 			Clock: kernel.SystemClock{}, Logger: telemetry.Discard(),
 		})
 		began := time.Now()
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return NewService(Deps{Members: v, Callers: v, Config: fixedConfig{snap}, Clock: kernel.SystemClock{}, Logger: telemetry.Discard()})
+	return NewService(Deps{Membership: v, Callers: v, Config: fixedConfig{snap}, Clock: kernel.SystemClock{}, Logger: telemetry.Discard()})
 }
 
 // serve serves one request that starts after delay and takes duration.
--- a/internal/drain/service.go
+++ b/internal/drain/service.go
@@ -46,12 +46,12 @@
 
 // Deps holds the dependencies of a Service.
 type Deps struct {
-	Members   Leaver
-	Callers   Listener
-	Config    config.Source
-	StopGrace time.Duration // time from the request to stop until the process is killed; 0: unbounded
-	Clock     kernel.Clock
-	Logger    *telemetry.Logger
+	Membership Leaver // announces that this VM is leaving
+	Callers    Listener
+	Config     config.Source
+	StopGrace  time.Duration // time from the request to stop until the process is killed; 0: unbounded
+	Clock      kernel.Clock
+	Logger     *telemetry.Logger
 }
 
 // Service drains this VM. It must be registered such that it is drained before
@@ -135,7 +135,7 @@
 func (s *Service) announceLeave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.leaveTimeout())
 	defer cancel()
-	if err := s.deps.Members.Leave(ctx); err != nil {
+	if err := s.deps.Membership.Leave(ctx); err != nil {
 		s.deps.Logger.Log(eventLeaveUnacknowledged, telemetry.Err(trace.Wrap(err, "announce the stop")))
 	}
 }
--- a/internal/forward/dialect_test.go
+++ b/internal/forward/dialect_test.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// A refusal without the not-run header may have been run: a request that is not
-// repeatable is not sent again.
+// A request refused without the not-run header may have been run. One that is not
+// repeatable is therefore not sent again, and the refusal is relayed.
 func TestUnmarkedRefusalIsRelayed(t *testing.T) {
 	runs := 0
 	target := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/placement/emulation/troubles.go
+++ b/internal/placement/emulation/troubles.go
@@ -142,7 +142,7 @@
 }
 
 // handleBrokenConn ends an attempt whose connection was closed or refused. The request is sent to
-// another target unless the ledger forbids it.
+// another target unless the VM's quarantine ledger forbids it (see mayRun).
 func (s *simulation) handleBrokenConn(a *attempt, result placement.Result) {
 	if a.done {
 		return
