--- a/internal/losses/print.go
+++ b/internal/losses/print.go
@@ -39,7 +39,7 @@
 	for _, s := range t.ByCause() {
 		fmt.Fprintf(w, "%s\t", s.Cause)
 	}
-	fmt.Fprint(w, "total\t\n")
+	fmt.Fprint(w, "all\t\n")
 	for _, k := range sortedKeys(sums) {
 		fmt.Fprintf(w, "%s\t", k)
 		all := 0.0
