--- a/internal/confsync/core.go
+++ b/internal/confsync/core.go
@@ -43,8 +43,13 @@
 	repairInterval     = 400 * time.Millisecond
 	repairersPerMember = 2 // daemons that push again to the same member
 
-	treeDegree    = 8 // children of each daemon in the tree of a root
-	maxRoots      = 4 // roots for which a daemon relays a generation
+	// treeDegree is the fan-out of the tree by which a new document is relayed within a region. Its
+	// root is the daemon that brought the document into the region.
+	treeDegree = 8
+	// maxRoots is the number of roots for which a daemon relays a generation. Several daemons may
+	// bring the same generation into a region, each as the root of its own tree.
+	maxRoots = 4
+
 	maxPushBytes  = 32 << 10
 	maxPieceBytes = 256 << 10
 )
--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -167,14 +167,14 @@
 
 func (d *Daemon) newEntry(w *wiring) (kernel.Service, error) {
 	return entry.NewService(entry.Deps{
-		Names:        d.opts.Hosted.Names,
-		Ready:        d.listeners.ready,
-		Lookup:       d.listeners.lookup,
-		Members:      w.members,
-		RegionByZone: d.settings.RegionByZone,
-		Serving:      func() (bool, string) { return w.discovery.View() != nil, "no document is in force yet" },
-		MaxAge:       lookupMaxAge(d.settings.Bounds),
-		Logger:       d.opts.Logger,
+		Names:          d.opts.Hosted.Names,
+		ReadyListener:  d.listeners.ready,
+		LookupListener: d.listeners.lookup,
+		Members:        w.members,
+		RegionByZone:   d.settings.RegionByZone,
+		Serving:        func() (bool, string) { return w.discovery.View() != nil, "no document is in force yet" },
+		MaxAge:         lookupMaxAge(d.settings.Bounds),
+		Logger:         d.opts.Logger,
 	}), nil
 }
 
--- a/internal/discovery/catalog.go
+++ b/internal/discovery/catalog.go
@@ -221,7 +221,8 @@
 	}
 }
 
-// hasMissing reports whether the catalog holds targets without an entry.
+// hasMissing reports whether the catalog keeps targets for rejoinGrace that the store no longer
+// lists.
 func (c *catalog) hasMissing() bool {
 	for _, e := range c.targets {
 		if !e.missingSince.IsZero() {
--- a/internal/edge/dialect.go
+++ b/internal/edge/dialect.go
@@ -33,8 +33,11 @@
 	// removed from requests of callers and responses of targets.
 	Internal func(name string) bool
 
-	GenerateRequestID       bool // generate an ID for requests without one
-	AddOutcomeHeaders       bool // add the headers of the system to responses
+	GenerateRequestID bool // generate an ID for requests without one
+	// AddOutcomeHeaders adds HeaderOutcome to responses, with HeaderServedRegion on those of
+	// targets, and HeaderStep and, if known, HeaderPeer on errors. Replayed responses have
+	// HeaderOutcome in any case.
+	AddOutcomeHeaders       bool
 	FractionalRetryAfter    bool // Retry-After may be fractional
 	CloseDelimitedResponses bool // responses may be delimited by closing the connection
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -31,14 +31,14 @@
 
 // Deps are the dependencies of a Service.
 type Deps struct {
-	Names        Names
-	Ready        net.Listener
-	Lookup       net.Listener // nil: this VM serves no look-ups
-	Members      membership.Source
-	RegionByZone map[string]string     // region by availability zone
-	Serving      func() (bool, string) // whether this VM can serve callers; if not, the reason
-	MaxAge       time.Duration         // how long callers may cache a look-up response
-	Logger       *telemetry.Logger
+	Names          Names
+	ReadyListener  net.Listener
+	LookupListener net.Listener // nil: this VM serves no look-ups
+	Members        membership.Source
+	RegionByZone   map[string]string     // region by availability zone
+	Serving        func() (bool, string) // whether this VM can serve callers; if not, the reason
+	MaxAge         time.Duration         // how long callers may cache a look-up response
+	Logger         *telemetry.Logger
 }
 
 // Service serves HTTP on the readiness and look-up listeners.
@@ -58,8 +58,8 @@
 
 // Start implements kernel.Service.
 func (s *Service) Start(context.Context) error {
-	s.serve(s.deps.Ready, s.deps.Names.ReadyPath, s.ready)
-	s.serve(s.deps.Lookup, s.deps.Names.LookupPath, s.lookup)
+	s.serve(s.deps.ReadyListener, s.deps.Names.ReadyPath, s.ready)
+	s.serve(s.deps.LookupListener, s.deps.Names.LookupPath, s.lookup)
 	return nil
 }
 
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -131,7 +131,7 @@
 				return map[string]any{"to": addresses, "for": maxAge.Seconds()}
 			},
 		},
-		Ready: ready, Lookup: lookup,
+		ReadyListener: ready, LookupListener: lookup,
 		Members:      fixedMembers{&membership.View{Members: []membership.Member{member("a1", "a", membership.Alive, 1)}}},
 		RegionByZone: map[string]string{"a-1": "a"},
 		Serving:      func() (bool, string) { return serving, "not yet" },
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -29,7 +29,7 @@
 	CallerAddress string  // host:port of the caller listener
 	Cores         float64 // CPU capacity of the VM, in cores; 0: unknown
 	Incarnation   uint64
-	Process       uint64 // first incarnation of its process; later ones do not imply a restart
+	Process       uint64 // incarnation at the start of the process; unlike Incarnation, it changes only on a restart
 	State         State
 	Generation    uint64 // generation of the configuration document it has in force
 	Hash          uint64 // hash of that document
--- a/internal/placement/emulation/connections.go
+++ b/internal/placement/emulation/connections.go
@@ -73,7 +73,7 @@
 	if !s.workload.ModelConnections || s.now.Sub(startTime) > s.workload.Length {
 		return
 	}
-	for _, t := range v.pool.Expected(s.now) {
+	for _, t := range v.pool.PreconnectCandidates(s.now) {
 		c := v.connsTo(t.Name)
 		if c.inUse > 0 || c.openingAhead || c.hasIdle(s.now) {
 			continue
--- a/internal/placement/expected.go
+++ b/internal/placement/expected.go
@@ -17,9 +17,9 @@
 	minConnectFraction = 0.25
 )
 
-// Expected returns the targets that are likely to get a request soon and are slow to connect
-// to, the most recently used first. Cold and unusable targets are left out.
-func (p *Pool) Expected(now time.Time) []*config.TargetIndex {
+// PreconnectCandidates returns the targets that are likely to get a request soon and are slow to
+// connect to, the most recently used first. Cold and unusable targets are left out.
+func (p *Pool) PreconnectCandidates(now time.Time) []*config.TargetIndex {
 	var expected []*targetState
 	for _, t := range p.sortedTargets {
 		if p.slowToConnect(t.Region) && now.Sub(t.lastRequest) <= expectedWindow && t.usable(now) && !t.cold(now) {
@@ -58,7 +58,7 @@
 	now := a.deps.Clock.Now()
 	var all []*config.TargetIndex
 	for _, p := range a.pools {
-		all = append(all, p.Expected(now)...)
+		all = append(all, p.PreconnectCandidates(now)...)
 	}
 	return all
 }
--- a/internal/placement/expected_test.go
+++ b/internal/placement/expected_test.go
@@ -54,7 +54,7 @@
 			p := expectedPool(tt.connect, tt.run, now)
 			rule := &config.Rule{ObjectiveMS: config.Millis(tt.objective.Milliseconds())}
 			p.Enqueue(&Request{Key: "object", Rule: rule, Arrived: now, Deadline: now.Add(time.Minute)}, now)
-			got := p.Expected(now)
+			got := p.PreconnectCandidates(now)
 			if tt.want != (len(got) == 1 && got[0].Name == "far") || !tt.want && len(got) > 0 {
 				t.Errorf("%d targets are expected to get a request, want only the far one: %v", len(got), tt.want)
 			}
@@ -67,11 +67,11 @@
 	now := time.Unix(1000, 0)
 	p := expectedPool(110*time.Millisecond, 228*time.Millisecond, now)
 	now = now.Add(2 * expectedWindow)
-	if got := p.Expected(now); len(got) > 0 {
+	if got := p.PreconnectCandidates(now); len(got) > 0 {
 		t.Fatalf("%d targets are expected to get a request long after the last one", len(got))
 	}
 	p.ApplyUsage(&Usage{Running: map[uint32]int{shortID("far"): 1, shortID("near"): 1, shortID("unknown"): 1, shortID("idle"): 0}}, time.Second, now)
-	if got := p.Expected(now); len(got) != 1 || got[0].Name != "far" {
+	if got := p.PreconnectCandidates(now); len(got) != 1 || got[0].Name != "far" {
 		t.Errorf("%d targets are expected to get a request, want the one with a request of another VM", len(got))
 	}
 }
@@ -81,7 +81,7 @@
 	now := time.Unix(1000, 0)
 	p := expectedPool(110*time.Millisecond, 228*time.Millisecond, now.Add(-100*time.Millisecond))
 	p.ApplyUsage(&Usage{Running: map[uint32]int{shortID("idle"): 1}}, time.Second, now)
-	if got := p.Expected(now); len(got) != 2 || got[0].Name != "idle" || got[1].Name != "far" {
+	if got := p.PreconnectCandidates(now); len(got) != 2 || got[0].Name != "idle" || got[1].Name != "far" {
 		t.Errorf("%v are expected, want idle and far in this order", got)
 	}
 }
--- a/internal/placement/notices_test.go
+++ b/internal/placement/notices_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("%s: fewer than 5 other targets are chosen", name)
 		}
 	}
-	for _, target := range p.Expected(start) {
+	for _, target := range p.PreconnectCandidates(start) {
 		if target.Name == "ros-0" {
 			t.Error("a leaving target is expected to get requests")
 		}
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -35,8 +35,8 @@
 
 // errorLabels maps the typed errors to their metrics labels.
 var errorLabels = []struct {
-	code  error
-	label string
+	sentinel error
+	label    string
 }{
 	{ErrNotFound, "not_found"},
 	{ErrConflict, "conflict"},
@@ -52,7 +52,7 @@
 		return "ok"
 	}
 	for _, l := range errorLabels {
-		if errors.Is(err, l.code) {
+		if errors.Is(err, l.sentinel) {
 			return l.label
 		}
 	}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -285,14 +285,16 @@
 	switch {
 	case !r.quarantinedAt.IsZero():
 		a.Verdict = Quarantined
-		a.TrialIn = trialIn(r, now)
+		a.TrialIn = untilTrial(r, now)
 	case longestSequence(l.unexplained(d, r)) >= suspectSequence:
 		a.Verdict = Suspect
 	}
 	return a
 }
 
-func trialIn(r *record, now time.Time) time.Duration {
+// untilTrial returns the delay until the next trial of a quarantined request, 0 if it is due, or
+// noTrialLeft (negative) if no trials are left.
+func untilTrial(r *record, now time.Time) time.Duration {
 	if r.failedTrials >= len(trialDelays) {
 		return noTrialLeft
 	}
--- a/internal/quarantine/spread.go
+++ b/internal/quarantine/spread.go
@@ -86,7 +86,8 @@
 	from   string
 }
 
-// isSingleCrash reports whether the report has at most one crash and no quarantine.
+// isSingleCrash reports whether the report alone does not make the request suspect: it has fewer
+// than suspectSequence crashes and no quarantine. Such reports are sent last.
 func (p *pendingReport) isSingleCrash() bool {
 	return len(p.report.Crashes) < suspectSequence && p.report.QuarantinedMS == 0
 }
--- a/internal/ratelimit/allocation.go
+++ b/internal/ratelimit/allocation.go
@@ -129,9 +129,11 @@
 	}
 }
 
-// fillBudget is a token bucket that limits the tokens with which new buckets start. In any window at
-// most the budget's Fill is taken, in addition to the initial tokens, which are available until
-// fullUntil.
+// fillBudget limits the tokens with which the buckets of new holders start, so that holders that join
+// do not raise the total over the limit. It is itself a token bucket. In any window at most the
+// budget's Fill is taken: half of it may have accumulated before the window (the cap), and the other
+// half is refilled during it. The initial tokens come on top; they are available until fullUntil, and
+// what is left of them then is discarded.
 type fillBudget struct {
 	tokens    float64
 	last      time.Duration
--- a/internal/ratelimit/take.go
+++ b/internal/ratelimit/take.go
@@ -24,11 +24,11 @@
 	// maxTokenWait is how long a request waits for a token. No more requests wait than are expected to
 	// get a token in that time.
 	maxTokenWait = 50 * time.Millisecond
-	// unknownRetryAfter is the Retry-After while no holder knows its share. Without a granter that this
-	// VM has reported to, it is between electionRetryAfter and twice that, the time that an election
-	// takes.
-	unknownRetryAfter  = 200 * time.Millisecond
-	electionRetryAfter = 500 * time.Millisecond
+	// unknownShareRetryAfter is the Retry-After while no holder knows its share. Without a granter that
+	// this VM has reported to, it is between electionRetryAfter and twice that, the time that an
+	// election takes.
+	unknownShareRetryAfter = 200 * time.Millisecond
+	electionRetryAfter     = 500 * time.Millisecond
 	// refusalCacheTTL limits how long a holder's refusal is repeated without asking the holder again.
 	refusalCacheTTL = 50 * time.Millisecond
 )
@@ -68,7 +68,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if m.Term != 0 && m.Term == s.reportedTerm {
-		return unknownRetryAfter
+		return unknownShareRetryAfter
 	}
 	return electionRetryAfter + time.Duration(rand.Float64()*float64(electionRetryAfter))
 }
